--- /dev/null
+++ b/src/main/java/gorsemast/cache/FetchEvent.java
@@ -0,0 +1,47 @@
+package gorsemast.cache;
+
+import java.util.Locale;
+
+/** What happens to requests for objects at one edge, each counted by {@link FetchCounters}. */
+public enum FetchEvent {
+    /** A client asked; one of the next three follows. */
+    CLIENT_ASKED,
+    CLIENT_HAD_COPY,
+    /** A fetch of the same object was out already; also where another edge asked. */
+    JOINED,
+    /** Another edge asked, as the object's home or as the one that fetches for it. */
+    EDGE_ASKED,
+    EDGE_HAD_COPY,
+    /** A copy was there and its time was over. */
+    COPY_EXPIRED,
+    /** The edge that ranks first for an object was passed over, as it had not answered before. */
+    PASSED_OVER,
+    HOME_ASKED,
+    HOME_COPY,
+    HOME_REFUSED,
+    /** It answered with nothing to go by: it knows of other purges, or failed. */
+    HOME_USELESS,
+    HOME_SILENT,
+    FETCHER_ASKED,
+    FETCHER_COPY,
+    FETCHER_REFUSED,
+    FETCHER_USELESS,
+    FETCHER_SILENT,
+    /** One of what the service bears was taken; one of the last five follows. */
+    RIGHT_TAKEN,
+    RIGHT_AWAITED,
+    /** No room among what the service bears, now or in time. */
+    RIGHT_REFUSED,
+    SERVERS_COPY,
+    SERVERS_OTHER,
+    SERVERS_REFUSED,
+    SERVERS_FAILED,
+    SERVERS_TOO_LONG;
+
+    private final String words = name().toLowerCase(Locale.ROOT).replace('_', ' ');
+
+    /** As it stands in the log. */
+    public String words() {
+        return words;
+    }
+}
--- a/src/main/java/gorsemast/cache/Fetching.java
+++ b/src/main/java/gorsemast/cache/Fetching.java
@@ -204,9 +204,7 @@
         }
     };
 
-    private long fromCopies;
-    private long fromHomes;
-    private long fromServers;
+    private final FetchCounters counters = new FetchCounters();
 
     /** At the edge with this address; {@code window} is what the servers' rate is counted over. */
     public Fetching(
@@ -229,9 +227,9 @@
         this.ways = ways;
     }
 
-    /** Where objects came from since the start, as words for the log. */
-    public String tally() {
-        return fromCopies + " from copies, " + fromHomes + " from homes, " + fromServers + " from servers";
+    /** What has happened to requests for objects since the start. */
+    public FetchCounters counters() {
+        return counters;
     }
 
     /** A purge has become known. */
@@ -256,9 +254,10 @@
         long now = clock.getAsLong();
         String key = what.key();
         demand(service(what)).asked(now);
+        counters.count(FetchEvent.CLIENT_ASKED);
         Copy copy = shelf.get(now, key, what.route.ttlMicros());
         if (copy != null) {
-            fromCopies++;
+            counters.count(FetchEvent.CLIENT_HAD_COPY);
             renew(now, key, copy, what);
         }
         return copy;
@@ -268,15 +267,23 @@
     public void ask(Wanted what, int hop, long giveUp, Waiter<A> waiter) {
         long now = clock.getAsLong();
         String key = what.key();
+        if (hop != ASKED_BY_CLIENT) {
+            counters.count(FetchEvent.EDGE_ASKED);
+        }
         Copy copy = shelf.get(now, key, what.route.ttlMicros());
         if (copy != null) {
+            counters.count(FetchEvent.EDGE_HAD_COPY);
             waiter.here(copy, false);
             return;
         }
+        if (shelf.held(key) != null) {
+            counters.count(FetchEvent.COPY_EXPIRED);
+        }
         int asked = Math.max(ASKED_BY_CLIENT, Math.min(ASKED_AS_FETCHER, hop));
         for (int at = ASKED_AS_FETCHER; at >= asked; at--) {
             Fetch fetch = fetches.get(at).get(key);
             if (fetch != null) {
+                counters.count(FetchEvent.JOINED);
                 fetch.waiters.add(waiter);
                 return;
             }
@@ -302,6 +309,9 @@
             next = homes.of(now, fetch.key, false, service, many);
             told = ASKED_AS_FETCHER;
         }
+        if (homes.passedOver()) {
+            counters.count(FetchEvent.PASSED_OVER);
+        }
         if (next.equals(self) || giveUp - now < LEAST_LEFT) {
             servers(fetch, fetch.waiters.isEmpty());
         } else {
@@ -333,6 +343,8 @@
 
     private void home(Fetch fetch, String home, int hop, long giveUp, long wait) {
         long asked = clock.getAsLong();
+        boolean atHome = hop == ASKED_AS_HOME;
+        counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
         fetch.homes++;
         fetch.waitsAt(hop - 1);
         ways.home(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, new FromHome<>() {
@@ -341,10 +353,14 @@
                 homes.answered(home);
             }
 
+            private void count(FetchEvent ofHome, FetchEvent ofFetcher) {
+                counters.count(atHome ? ofHome : ofFetcher, clock.getAsLong() - asked);
+            }
+
             @Override
             public void copy(Copy copy) {
                 answered();
-                fromHomes++;
+                count(FetchEvent.HOME_COPY, FetchEvent.FETCHER_COPY);
                 fetch.here(copy);
             }
 
@@ -357,17 +373,20 @@
             @Override
             public void refused(long retryAfter) {
                 answered();
+                count(FetchEvent.HOME_REFUSED, FetchEvent.FETCHER_REFUSED);
                 fetch.refused(retryAfter);
             }
 
             @Override
             public void useless() {
                 answered();
+                count(FetchEvent.HOME_USELESS, FetchEvent.FETCHER_USELESS);
                 beyond(fetch, giveUp);
             }
 
             @Override
             public void silent(boolean ours) {
+                count(FetchEvent.HOME_SILENT, FetchEvent.FETCHER_SILENT);
                 if (!ours) {
                     homes.failed(clock.getAsLong(), home);
                 }
@@ -418,37 +437,48 @@
         if (!ceiling.take(asked, ways.perSecond(service) * part(service), ahead)) {
             long roomIn = ceiling.roomIn(asked, ways.perSecond(service) * part(service));
             if (!ahead && asked + roomIn - fetch.begun < WAITS_OF_AIM * fetch.what.route.aimMicros()) {
+                counters.count(FetchEvent.RIGHT_AWAITED);
                 ways.later(roomIn, () -> servers(fetch, false)); // in time yet
             } else {
+                counters.count(FetchEvent.RIGHT_REFUSED);
                 fetch.refused(roomIn);
             }
             return;
         }
-        fromServers++;
+        counters.count(FetchEvent.RIGHT_TAKEN);
         boolean known =
                 ways.servers(service, fetch.what, asked, asked + fetch.what.route.timeoutMicros(), new FromServers<>() {
+                    private void count(FetchEvent event) {
+                        counters.count(event, clock.getAsLong() - asked);
+                    }
+
                     @Override
                     public void copy(Copy copy) {
+                        count(FetchEvent.SERVERS_COPY);
                         fetch.here(copy);
                     }
 
                     @Override
                     public void other(A answer) {
+                        count(FetchEvent.SERVERS_OTHER);
                         fetch.other(answer);
                     }
 
                     @Override
                     public void refused(long retryAfter) {
+                        count(FetchEvent.SERVERS_REFUSED);
                         fetch.refused(retryAfter);
                     }
 
                     @Override
                     public void failed() {
+                        count(FetchEvent.SERVERS_FAILED);
                         fetch.failed();
                     }
 
                     @Override
                     public void tooLong() {
+                        count(FetchEvent.SERVERS_TOO_LONG);
                         fetch.tooLong();
                     }
                 });
--- a/src/main/java/gorsemast/cache/Homes.java
+++ b/src/main/java/gorsemast/cache/Homes.java
@@ -36,6 +36,7 @@
     private final Map<String, Set<String>> fetchers = new HashMap<>();
 
     private final Map<String, Away> away = new HashMap<>();
+    private boolean passedOver;
 
     /** Of the edge with this address. */
     public Homes(String self, String zone) {
@@ -93,17 +94,22 @@
         long name = Hash.of(key);
         String best = self;
         long rank = some == null || some.contains(self) ? Hash.rank(name, selfHash) : Long.MIN_VALUE;
+        long passedRank = Long.MIN_VALUE;
         for (Edge edge : edges) {
             long other = Hash.rank(name, edge.hash);
             if (other > rank
                     && (!zoned || zone.equals(edge.zone))
                     && (some == null || some.contains(edge.ip))
-                    && !edge.ip.equals(self)
-                    && !passed(now, edge.ip)) {
-                best = edge.ip;
-                rank = other;
+                    && !edge.ip.equals(self)) {
+                if (passed(now, edge.ip)) {
+                    passedRank = Math.max(passedRank, other);
+                } else {
+                    best = edge.ip;
+                    rank = other;
+                }
             }
         }
+        passedOver = passedRank > rank;
         Away tried = away.get(best);
         if (tried != null) {
             tried.until =
@@ -112,6 +118,11 @@
         return best;
     }
 
+    /** Whether one that ranked higher was passed over when a home was last asked for. */
+    public boolean passedOver() {
+        return passedOver;
+    }
+
     private boolean passed(long now, String edge) {
         Away one = away.get(edge);
         return one != null && now < one.until;
--- a/src/main/java/gorsemast/proxy/ProxyProgram.java
+++ b/src/main/java/gorsemast/proxy/ProxyProgram.java
@@ -70,6 +70,9 @@
     /** While it leaves, it looks so often for what is over. */
     private static final long LEAVING_MICROS = 60_000;
 
+    /** The log tells so often what has happened to requests for objects. */
+    private static final long REPORT_MICROS = 10_000_000;
+
     private static final Log LOG = new Log("proxy");
 
     private final Settings settings;
@@ -87,6 +90,7 @@
     private final SplittableRandom random = new SplittableRandom(Seed.fresh());
     private final long origin = System.nanoTime();
     private boolean stopping;
+    private long reportAt;
 
     /** By the platform's settings; nothing begins yet. */
     public ProxyProgram(Settings settings) {
@@ -240,7 +244,8 @@
         CountDownLatch over = new CountDownLatch(1);
         loop.execute(() -> {
             stopping = true;
-            LOG.info("leaves, " + front.held() + " requests held; took " + front.taken() + ", " + fetching.tally());
+            LOG.info("leaves, " + front.held() + " requests held; took " + front.taken() + ", "
+                    + fetching.counters().describe());
             loop.schedule(front::closing, Math.min(NOTICED_MICROS, grace / 2), TimeUnit.MICROSECONDS);
             long last = now() + grace - LAST_MICROS;
             loop.scheduleWithFixedDelay(
@@ -271,6 +276,7 @@
         try {
             lookout.tick();
             shelf.sweep(now());
+            report();
             Set<InetSocketAddress> wanted = new LinkedHashSet<>();
             lookout.wantedRegistries().forEach(ip -> wanted.add(Ports.REGISTRY.at(settings, ip)));
             lookout.wantedEdges().forEach(ip -> wanted.add(Ports.PROXY.at(settings, ip)));
@@ -280,6 +286,15 @@
         }
     }
 
+    private void report() {
+        if (now() >= reportAt) {
+            reportAt = now() + REPORT_MICROS;
+            if (fetching.counters().changed()) {
+                LOG.info("objects: " + fetching.counters().describe());
+            }
+        }
+    }
+
     // ---- what the lookout tells
 
     @Override
