--- /dev/null
+++ b/src/test/java/gorsemast/cache/ObjectFleetTest.java
@@ -0,0 +1,38 @@
+package gorsemast.cache;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import gorsemast.cache.ObjectFleet.Result;
+import gorsemast.cache.ObjectFleet.Setup;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What a fleet of edges serves of objects, beside what one cache for all of them would serve. */
+class ObjectFleetTest {
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void aFleetServesNearlyWhatOneCacheWould(long seed) {
+        Setup setup = Setup.twin(seed);
+        Result fleet = ObjectFleet.play(setup);
+        Result ideal = ObjectFleet.ideal(setup);
+        assertThat(fleet.share()).as("%s beside %s", fleet, ideal).isGreaterThan(0.9 * ideal.share());
+        assertThat(fleet.aimShare()).as("in time, %s", fleet).isGreaterThan(0.75 * ideal.share());
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void whatIsNotSentTakesNothingOfWhatServersBear(long seed) {
+        Setup setup = Setup.twin(seed).refusing(0.3);
+        Result fleet = ObjectFleet.play(setup);
+        Result ideal = ObjectFleet.ideal(setup);
+        assertThat(fleet.arrivals()).as("%s beside %s", fleet, ideal).isGreaterThan((long) (0.9 * ideal.arrivals()));
+    }
+
+    @ParameterizedTest
+    @ValueSource(longs = {1, 2, 3})
+    void noWindowHoldsMoreThanServersBear(long seed) {
+        Setup setup = Setup.twin(seed);
+        Result fleet = ObjectFleet.play(setup);
+        assertThat((double) fleet.mostInWindow()).as("%s", fleet).isLessThanOrEqualTo(setup.perSecond() * 5 * 1.1);
+    }
+}
