--- a/src/main/java/gorsemast/cache/Ceiling.java
+++ b/src/main/java/gorsemast/cache/Ceiling.java
@@ -9,14 +9,12 @@
  * and no step may take more than {@link #STEP_PART}, so that the last life can't have spent it all just before it ended. So a
  * herd of edges that is killed and comes back stays within the window too.
  *
- * <p><b>Could hurt</b> where few edges get most of the traffic: they refuse while others leave their part unused. O(1); one
+ * <p><b>Could hurt</b> where few edges get most of the traffic: they refuse while others leave their part unused. What is given back is taken
+ * out of the step in which it was taken. O(1); one
  * thread; times in microseconds.
  */
 public final class Ceiling {
     private static final int STEPS = 10;
-    /** Parts of the rate that are spent: the rest is for what is seen otherwise at the servers than here. */
-    private static final double SPENT = 0.95;
-
     private static final double AHEAD = 0.5;
     /** Of the window's part, so much may go out in one step: once and a half of an even one. */
     private static final double STEP_PART = 0.15;
@@ -38,12 +36,13 @@
         return (int) Math.floorMod(s, (long) counts.length);
     }
 
-    private double most(double perSecond) {
-        return Math.max(1, SPENT * perSecond * windowMicros / 1e6);
+    /** The step that a time falls into. */
+    long step(long now) {
+        return Math.floorDiv(now, stepMicros);
     }
 
     private void move(long now, double most) {
-        long at = Math.floorDiv(now, stepMicros);
+        long at = step(now);
         if (step == Long.MIN_VALUE) {
             for (long s = at - STEPS; s < at; s++) {
                 counts[place(s)] = s < begunStep && most > 1 ? most / STEPS : 0;
@@ -68,13 +67,12 @@
     /**
      * Whether one more may go out; it is counted if so.
      *
-     * @param perSecond what this edge may send
+     * @param most what this edge may send in one window
      * @param ahead whether nobody waits for it
      */
-    public boolean take(long now, double perSecond, boolean ahead) {
-        double most = most(perSecond);
+    public boolean take(long now, double most, boolean ahead) {
         move(now, most);
-        boolean full = sum() + 1 > Math.max(1, most * (ahead ? AHEAD : 1));
+        boolean full = sum() + 1 > (ahead ? Math.min(most, Math.max(1, most * AHEAD)) : most);
         if (full || counts[place(step)] + 1 > Math.max(1, STEP_PART * most)) {
             return false;
         }
@@ -82,10 +80,19 @@
         return true;
     }
 
-    /** How long until there is room for one more of so many a second, if nothing else goes out. */
-    public long roomIn(long now, double perSecond) {
-        double most = most(perSecond);
+    /** What was taken in that step was not used. */
+    public void giveBack(long taken) {
+        if (taken > step - counts.length && counts[place(taken)] >= 1) {
+            counts[place(taken)]--;
+        }
+    }
+
+    /** How long until there is room for one more of so many in a window, if nothing else goes out. */
+    public long roomIn(long now, double most) {
         move(now, most);
+        if (most < 1) {
+            return windowMicros;
+        }
         double sum = sum();
         long wait = stepMicros - Math.floorMod(now, stepMicros);
         for (long s = step - STEPS; s < step; s++) {
--- a/src/main/java/gorsemast/cache/FetchEvent.java
+++ b/src/main/java/gorsemast/cache/FetchEvent.java
@@ -12,6 +12,8 @@
     /** Another edge asked, as the object's home or as the one that fetches for it. */
     EDGE_ASKED,
     EDGE_HAD_COPY,
+    /** Its time was nearly over while the object was being fetched. */
+    EDGE_TOLD_IN_HAND,
     /** A copy was there and its time was over. */
     COPY_EXPIRED,
     /** The edge that ranks first for an object was passed over, as it had not answered before. */
@@ -21,13 +23,15 @@
     HOME_REFUSED,
     /** It answered with nothing to go by: it knows of other purges, or failed. */
     HOME_USELESS,
+    HOME_IN_HAND,
     HOME_SILENT,
     FETCHER_ASKED,
     FETCHER_COPY,
     FETCHER_REFUSED,
     FETCHER_USELESS,
+    FETCHER_IN_HAND,
     FETCHER_SILENT,
-    /** One of what the service bears was taken; one of the last five follows. */
+    /** One of what the service bears was taken; one of the last six follows. */
     RIGHT_TAKEN,
     RIGHT_AWAITED,
     /** No room among what the service bears, now or in time. */
@@ -35,6 +39,8 @@
     SERVERS_COPY,
     SERVERS_OTHER,
     SERVERS_REFUSED,
+    /** The decision module sent nothing; the right was given back. */
+    SERVERS_NOT_SENT,
     SERVERS_FAILED,
     SERVERS_TOO_LONG;
 
--- a/src/main/java/gorsemast/cache/Fetching.java
+++ b/src/main/java/gorsemast/cache/Fetching.java
@@ -1,5 +1,6 @@
 package gorsemast.cache;
 
+import gorsemast.admission.ComeBack;
 import gorsemast.configuration.Route;
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.GossipState;
@@ -38,18 +39,21 @@
     private static final double RENEW_FROM = 0.8;
     /** So many objects that are too long to be held are remembered. */
     private static final int MOST_LONG = 1_024;
-    /** What finds no room among what servers bear waits for so much of its aim at most, before it is refused. */
-    private static final double WAITS_OF_AIM = 0.5;
+    /**
+     * What finds no room among what servers bear waits for so much of its aim at most, before it is refused: who is told early when
+     * to come back can still be served in time then.
+     */
+    private static final double WAITS_OF_AIM = 0.15;
+    /** Of the time that another edge waits, so much passes at most before it is answered. */
+    private static final double ANSWERS_WITHIN = 0.6;
     /** So many homes are asked for one object. */
     private static final int MOST_HOMES = 3;
     /** Of the time that is left, so much is waited for a home, and by a home for who fetches for it. */
     private static final double WAITS_FOR_HOME = 0.67;
 
     private static final double WAITS_FOR_FETCHER = 0.9;
-    /** Of what servers bear, so much is for the edges that fetch for all; the others need it where a home fails. */
-    private static final double FETCHERS_PART = 0.88;
     /** When to come back where nothing better is known. */
-    private static final long LATER_MICROS = 300_000;
+    public static final long LATER_MICROS = 300_000;
 
     /** An object that is asked for; {@code host} in lower case, {@code uri} with its query. */
     public record Wanted(Route route, String host, String uri) {
@@ -73,6 +77,9 @@
 
         /** It is too long to be held, and has to be asked for without a copy. */
         void tooLong();
+
+        /** The time of the edge that asks is nearly over, and it is still being fetched: ask again. Clients are never told. */
+        void inHand();
     }
 
     /** How a request to a home ended; one of these is called, once. */
@@ -87,6 +94,9 @@
         /** It answered, with nothing to go by. */
         void useless();
 
+        /** It is still fetching the object. */
+        void inHand();
+
         /** It did not answer in time; {@code ours} where that was this edge's own doing. */
         void silent(boolean ours);
     }
@@ -99,6 +109,9 @@
 
         void refused(long retryAfterMicros);
 
+        /** Refused or failed before anything was sent. */
+        void notSent(long retryAfterMicros);
+
         void failed();
 
         void tooLong();
@@ -106,8 +119,13 @@
 
     /** What carries requests out. */
     public interface Ways<A> {
-        /** Asks another edge as {@code hop}, which is to say by {@code step} whether it knows of the same purges. */
-        void home(String edge, Wanted what, int hop, long step, long begun, long wait, FromHome<A> ending);
+        /**
+         * Asks another edge as {@code hop}, which is to say by {@code step} whether it knows of the same purges.
+         *
+         * @param wait it is silent when nothing of an answer has come for so long
+         * @param giveUp when an answer that is still coming in is of no use any more
+         */
+        void home(String edge, Wanted what, int hop, long step, long begun, long wait, long giveUp, FromHome<A> ending);
 
         /** Asks a service's servers; false where there is no such service yet. */
         boolean servers(String service, Wanted what, long asked, long giveUp, FromServers<A> ending);
@@ -183,10 +201,9 @@
     private final GossipState board;
     private final Ways<A> ways;
     private final String self;
-    private final long window;
-    private final long begun;
     private final SplittableRandom random;
-    private final Map<String, Ceiling> ceilings = new HashMap<>();
+    private final OriginRights rights;
+    private final ComeBack comeBack = new ComeBack();
     private final Map<String, Demand> demands = new HashMap<>();
     private final Patience patience = new Patience();
     /**
@@ -218,13 +235,12 @@
             Ways<A> ways) {
         this.self = self;
         this.clock = clock;
-        this.begun = clock.getAsLong();
         this.shelf = shelf;
         this.homes = homes;
         this.board = board;
-        this.window = window;
         this.random = new SplittableRandom(seed);
         this.ways = ways;
+        this.rights = new OriginRights(clock, homes, window, ways::perSecond, ways::fetchers);
     }
 
     /** What has happened to requests for objects since the start. */
@@ -265,12 +281,28 @@
 
     /** Asks for an object; {@code hop} says who asks, from {@link #ASKED_BY_CLIENT} on. */
     public void ask(Wanted what, int hop, long giveUp, Waiter<A> waiter) {
+        if (hop <= ASKED_BY_CLIENT) {
+            find(what, ASKED_BY_CLIENT, giveUp, waiter);
+            return;
+        }
+        counters.count(FetchEvent.EDGE_ASKED);
         long now = clock.getAsLong();
-        String key = what.key();
-        if (hop != ASKED_BY_CLIENT) {
-            counters.count(FetchEvent.EDGE_ASKED);
+        EdgeWaiter<A> edge = new EdgeWaiter<>(waiter);
+        // What it asks for is of use to others too, so it is fetched for as long as its route allows.
+        find(what, Math.min(ASKED_AS_FETCHER, hop), now + what.route.timeoutMicros(), edge);
+        if (!edge.isOver()) {
+            ways.later((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
+                if (!edge.isOver()) {
+                    counters.count(FetchEvent.EDGE_TOLD_IN_HAND);
+                    edge.inHand();
+                }
+            });
         }
-        Copy copy = shelf.get(now, key, what.route.ttlMicros());
+    }
+
+    private void find(Wanted what, int asked, long giveUp, Waiter<A> waiter) {
+        String key = what.key();
+        Copy copy = shelf.get(clock.getAsLong(), key, what.route.ttlMicros());
         if (copy != null) {
             counters.count(FetchEvent.EDGE_HAD_COPY);
             waiter.here(copy, false);
@@ -279,7 +311,6 @@
         if (shelf.held(key) != null) {
             counters.count(FetchEvent.COPY_EXPIRED);
         }
-        int asked = Math.max(ASKED_BY_CLIENT, Math.min(ASKED_AS_FETCHER, hop));
         for (int at = ASKED_AS_FETCHER; at >= asked; at--) {
             Fetch fetch = fetches.get(at).get(key);
             if (fetch != null) {
@@ -316,11 +347,20 @@
             servers(fetch, fetch.waiters.isEmpty());
         } else {
             double part = hop == ASKED_BY_CLIENT ? WAITS_FOR_HOME : WAITS_FOR_FETCHER;
-            long patient = patience.micros(all ? 0 : fetch.what.route.aimMicros());
+            long patient = patience.micros(fetch.what.route.aimMicros());
             home(fetch, next, told, giveUp, (long) Math.min(patient, part * (giveUp - now)));
         }
     }
 
+    /** Who was asked did not answer: the next one by rank, or else the servers. */
+    private void afterSilence(Fetch fetch, int hop, long giveUp) {
+        if (fetch.homes < MOST_HOMES) {
+            begin(fetch, hop - 1, giveUp);
+        } else {
+            servers(fetch, false);
+        }
+    }
+
     /** A home was of no use: the edge that fetches, where this is none, or else the servers. */
     private void beyond(Fetch fetch, long giveUp) {
         String service = service(fetch.what);
@@ -347,7 +387,7 @@
         counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
         fetch.homes++;
         fetch.waitsAt(hop - 1);
-        ways.home(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, new FromHome<>() {
+        ways.home(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp, new FromHome<>() {
             private void answered() {
                 patience.answered(clock.getAsLong() - asked);
                 homes.answered(home);
@@ -387,30 +427,32 @@
             @Override
             public void silent(boolean ours) {
                 count(FetchEvent.HOME_SILENT, FetchEvent.FETCHER_SILENT);
-                if (!ours) {
+                if (ours) {
+                    fetch.refused(LATER_MICROS);
+                } else {
                     homes.failed(clock.getAsLong(), home);
+                    afterSilence(fetch, hop, giveUp);
                 }
-                beyond(fetch, giveUp);
             }
-        });
-    }
 
-    /** This edge's part of what a service's servers bear. */
-    private double part(String service) {
-        int many = ways.fetchers(service);
-        int edges = homes.count();
-        if (many >= edges) {
-            return 1.0 / edges;
-        }
-        return homes.fetches(service, many) ? FETCHERS_PART / many : (1 - FETCHERS_PART) / (edges - many);
+            @Override
+            public void inHand() {
+                homes.answered(home);
+                count(FetchEvent.HOME_IN_HAND, FetchEvent.FETCHER_IN_HAND);
+                long left = giveUp - clock.getAsLong();
+                if (left < LEAST_LEFT) {
+                    fetch.failed();
+                } else {
+                    fetch.homes--;
+                    home(fetch, home, hop, giveUp, Math.min(wait, left));
+                }
+            }
+        });
     }
 
     /** Whether one more may go to a service's servers now, a further attempt or one for no object; it is counted if so. */
     public boolean another(String service) {
-        double most = ways.perSecond(service);
-        return Double.isInfinite(most)
-                || ceilings.computeIfAbsent(service, name -> new Ceiling(window, begun))
-                        .take(clock.getAsLong(), most * part(service), false);
+        return rights.take(service, false) != null;
     }
 
     private static String service(Wanted what) {
@@ -433,15 +475,15 @@
         long asked = clock.getAsLong();
         fetch.waitsAt(ASKED_AS_FETCHER);
         String service = fetch.what.route.service(random.nextDouble());
-        Ceiling ceiling = ceilings.computeIfAbsent(service, name -> new Ceiling(window, begun));
-        if (!ceiling.take(asked, ways.perSecond(service) * part(service), ahead)) {
-            long roomIn = ceiling.roomIn(asked, ways.perSecond(service) * part(service));
+        OriginRights.Right right = rights.take(service, ahead);
+        if (right == null) {
+            long roomIn = rights.roomIn(service);
             if (!ahead && asked + roomIn - fetch.begun < WAITS_OF_AIM * fetch.what.route.aimMicros()) {
                 counters.count(FetchEvent.RIGHT_AWAITED);
                 ways.later(roomIn, () -> servers(fetch, false)); // in time yet
             } else {
                 counters.count(FetchEvent.RIGHT_REFUSED);
-                fetch.refused(roomIn);
+                fetch.refused(comeBack.refused(roomIn, random.nextDouble()));
             }
             return;
         }
@@ -455,6 +497,7 @@
                     @Override
                     public void copy(Copy copy) {
                         count(FetchEvent.SERVERS_COPY);
+                        comeBack.served();
                         fetch.here(copy);
                     }
 
@@ -470,6 +513,13 @@
                         fetch.refused(retryAfter);
                     }
 
+                    @Override
+                    public void notSent(long retryAfter) {
+                        count(FetchEvent.SERVERS_NOT_SENT);
+                        right.giveBack();
+                        fetch.refused(retryAfter);
+                    }
+
                     @Override
                     public void failed() {
                         count(FetchEvent.SERVERS_FAILED);
@@ -483,6 +533,7 @@
                     }
                 });
         if (!known) {
+            right.giveBack();
             fetch.refused(LATER_MICROS);
         }
     }
--- a/src/main/java/gorsemast/cache/Homes.java
+++ b/src/main/java/gorsemast/cache/Homes.java
@@ -27,6 +27,16 @@
 
     private record Edge(String ip, String zone, long hash) {}
 
+    /**
+     * Where this edge stands among those that share what a service's servers bear.
+     *
+     * @param all whether all edges fetch its objects
+     * @param fetches whether this edge does
+     * @param index its place, from 0 on, among those that do, or among those that don't
+     * @param count how many those are
+     */
+    public record Place(boolean all, boolean fetches, int index, int count) {}
+
     private final String self;
     private final long selfHash;
     private final String zone;
@@ -35,6 +45,8 @@
     /** The edges that fetch a service's objects, where these are not all. */
     private final Map<String, Set<String>> fetchers = new HashMap<>();
 
+    private final Map<String, Place> places = new HashMap<>();
+
     private final Map<String, Away> away = new HashMap<>();
     private boolean passedOver;
 
@@ -55,6 +67,7 @@
         zones.forEach((ip, at) -> next.add(new Edge(ip, at, Hash.of(ip))));
         edges = next;
         fetchers.clear();
+        places.clear();
         away.keySet().retainAll(zones.keySet());
     }
 
@@ -68,17 +81,42 @@
         return many >= count() || fetchers(service, many).contains(self);
     }
 
+    private List<String> ranked(String service) {
+        Set<String> all = new HashSet<>(zones.keySet());
+        all.add(self);
+        return Hash.ranked("fetches " + service, all);
+    }
+
     private Set<String> fetchers(String service, int many) {
         Set<String> known = fetchers.get(service);
         if (known == null || known.size() != Math.min(many, count())) {
-            Set<String> all = new HashSet<>(zones.keySet());
-            all.add(self);
-            known = new HashSet<>(Hash.ranked("fetches " + service, all).subList(0, Math.min(many, all.size())));
+            List<String> all = ranked(service);
+            known = new HashSet<>(all.subList(0, Math.min(many, all.size())));
             fetchers.put(service, known);
         }
         return known;
     }
 
+    /** Where this edge stands where {@code many} edges fetch a service's objects; edges that know the same agree. */
+    public Place place(String service, int many) {
+        int edges = count();
+        int some = Math.max(1, Math.min(many, edges));
+        Place known = places.get(service);
+        boolean same = known != null
+                && (known.all()
+                        ? some == edges
+                        : known.fetches() ? known.count() == some : known.count() == edges - some);
+        if (!same) {
+            int index = ranked(service).indexOf(self);
+            boolean fetches = index < some;
+            known = fetches
+                    ? new Place(some == edges, true, index, some)
+                    : new Place(false, false, index - some, edges - some);
+            places.put(service, known);
+        }
+        return known;
+    }
+
     /**
      * The home of a key: an address, this edge's own where it is its home or nobody else is up.
      *
--- a/src/main/java/gorsemast/dispatch/CallState.java
+++ b/src/main/java/gorsemast/dispatch/CallState.java
@@ -24,6 +24,7 @@
     private final boolean repeatable;
     private int attempts;
     private int out = NONE;
+    private int sent;
     private boolean mayHaveRun;
     private boolean answered;
 
@@ -50,6 +51,12 @@
     /** That attempt is on its way. */
     public final void sent(int attempt) {
         out = attempt;
+        sent++;
+    }
+
+    /** Whether any attempt has gone out, so that a server may have got it. */
+    public final boolean hasGoneOut() {
+        return sent > 0;
     }
 
     /** It has ended so; false where it is not the one that is out, and nothing follows from it. */
@@ -58,6 +65,7 @@
             return false;
         }
         out = NONE;
+        sent -= code == Code.NOT_SENT ? 1 : 0;
         mayHaveRun |= mayHaveRun(code);
         return true;
     }
--- a/src/main/java/gorsemast/dispatch/Client.java
+++ b/src/main/java/gorsemast/dispatch/Client.java
@@ -12,9 +12,9 @@
     /** Instead: an answer that is passed on as it comes. */
     Passage begins(HttpResponse head, long length, Passage.Flow flow);
 
-    /** It has not run and will not: come back then. */
-    void refused(long retryAfterMicros);
+    /** It has not run and will not: come back then; {@code sent} where an attempt has gone out. */
+    void refused(long retryAfterMicros, boolean sent);
 
-    /** Nothing is promised; {@code timeUp} where its time was over. */
-    void failed(boolean timeUp);
+    /** Nothing is promised; {@code timeUp} where its time was over, {@code sent} where an attempt has gone out. */
+    void failed(boolean timeUp, boolean sent);
 }
--- a/src/main/java/gorsemast/dispatch/Crowd.java
+++ b/src/main/java/gorsemast/dispatch/Crowd.java
@@ -11,8 +11,9 @@
  *
  * <p><b>Idea.</b> A server takes so many connections from all callers together and resets what is beyond. Where each edge can
  * have {@link #EACH} with every server, nothing is divided. Else each goes to as many servers as leave that many to it, named
- * by rendezvous, and another takes the place of one that leaves. Objects are fetched by their homes; where connections, or
- * the rate that servers bear, are too little for all, a part of the edges fetches for all homes, again by rendezvous. All edges that know the same of machines and servers come to the same.
+ * by rendezvous, and another takes the place of one that leaves. Objects are fetched by their homes: each further edge on the way is a
+ * queue, a narrow link and a time limit of its own. Only where connections, or the rate that servers bear, are too little for all does
+ * a part of the edges fetch for all homes, again by rendezvous. All edges that know the same of machines and servers come to the same.
  *
  * <p><b>When it could hurt.</b> Edges that disagree on who is there go to more servers for a while than their parts allow.
  *
@@ -26,8 +27,10 @@
     static final int EACH = 2;
     /** With fewer servers than this an edge would have too little choice when they fail. */
     static final int LEAST_SERVERS = 3;
-    /** An edge that fetches for others needs so many fetches a second to smooth what it is asked. */
-    static final double LEAST_RATE = 12;
+    /** An edge that fetches needs so many fetches a second: with less its rights within a window are too few to be of use. */
+    static final double LEAST_RATE = 1;
+    /** Connections to fetch by end with their answers: a fraction is open at a time, so more edges may have one than fit. */
+    static final double SELDOM_OPEN = 2;
 
     /** How many servers this edge goes to. */
     public int reach() {
@@ -44,7 +47,7 @@
 
     /** How many edges fetch objects from servers that bear {@code perSecond} requests. */
     public static int homes(int edges, int most, double perSecond) {
-        double byConnections = Math.max(1, most / EACH);
+        double byConnections = Math.max(1, SELDOM_OPEN * most);
         double byRate = Math.max(1, perSecond / LEAST_RATE);
         return (int) Math.max(Math.min(2, edges), Math.min(edges, Math.min(byConnections, byRate)));
     }
--- a/src/main/java/gorsemast/dispatch/Sender.java
+++ b/src/main/java/gorsemast/dispatch/Sender.java
@@ -177,7 +177,7 @@
     private void giveUp(Exchange x) {
         if (!x.state.isAnswered()) {
             conclude(x);
-            finalAnswer(x, () -> x.client.failed(true));
+            finalAnswer(x, () -> x.client.failed(true, x.state.hasGoneOut()));
             abandon(x);
         }
     }
@@ -194,7 +194,7 @@
         if (x.last != null && x.state.mayPass(x.last.status().code())) {
             x.client.answered(x.last);
         } else if (x.last != null) {
-            x.client.failed(false);
+            x.client.failed(false, x.state.hasGoneOut());
         } else {
             otherwise.run();
         }
@@ -325,16 +325,16 @@
     public void refuse(String request, long retryAfter) {
         answer(request, x -> {
             if (x.state.mayRefuse()) {
-                x.client.refused(retryAfter);
+                x.client.refused(retryAfter, x.state.hasGoneOut());
             } else {
-                x.client.failed(false);
+                x.client.failed(false, x.state.hasGoneOut());
             }
         });
     }
 
     @Override
     public void fail(String request) {
-        answer(request, x -> x.client.failed(false));
+        answer(request, x -> x.client.failed(false, x.state.hasGoneOut()));
     }
 
     private void answer(String request, Consumer<Exchange> how) {
--- a/src/main/java/gorsemast/http/AnswerBuffer.java
+++ b/src/main/java/gorsemast/http/AnswerBuffer.java
@@ -27,6 +27,11 @@
         return length <= MAX_ANSWER;
     }
 
+    /** Whether the head of one has come that has not been taken yet. */
+    boolean isBegun() {
+        return head != null;
+    }
+
     HttpResponse head() {
         return head;
     }
--- a/src/main/java/gorsemast/http/PendingAttempt.java
+++ b/src/main/java/gorsemast/http/PendingAttempt.java
@@ -28,6 +28,10 @@
     boolean handedOver;
 
     private boolean ended;
+    /** While its answer comes in, it is given up at this time of {@link Upstream#now}. */
+    private long lastAt = Long.MIN_VALUE;
+
+    private long patience;
 
     PendingAttempt(
             Upstream upstream,
@@ -65,8 +69,25 @@
         }
     }
 
+    /** From now on its time begins anew with each part of its answer, up to then. */
+    void goesOnWhileItComes(long patienceMicros, long lastAtMicros) {
+        patience = patienceMicros;
+        lastAt = lastAtMicros;
+    }
+
+    /** Its time is over, unless its answer is coming in. */
+    void limited() {
+        long now = Upstream.now();
+        long next = connection == null ? now : Math.min(lastAt, connection.lastPartAt() + patience);
+        if (next > now) {
+            limit = upstream.loop.schedule(this::limited, next - now, TimeUnit.MICROSECONDS);
+        } else {
+            expire();
+        }
+    }
+
     /** Its time is over. Waiting for a place at a node that has let others in says nothing of it. */
-    void expire() {
+    private void expire() {
         boolean waited = connection == null && upstream.pools.open(node.host()) > 0;
         end(mayHaveRun() ? Code.TIMEOUT : waited ? Code.NOT_SENT : Code.CONNECT_FAILED, Note.NONE, null);
     }
--- a/src/main/java/gorsemast/http/Upstream.java
+++ b/src/main/java/gorsemast/http/Upstream.java
@@ -181,9 +181,24 @@
 
     /** The same, with an answer of up to {@code kept} bytes kept whole. */
     public Attempt send(Peer node, FullHttpRequest request, long waitMicros, boolean once, int kept, Ending ending) {
-        PendingAttempt attempt = new PendingAttempt(this, node, request, once, kept, ending);
-        attempt.limit = loop.schedule(attempt::expire, Math.max(0, waitMicros), TimeUnit.MICROSECONDS);
-        UpstreamConnection connection = takeIdle(node.host(), once && dialect.forgets());
+        return send(new PendingAttempt(this, node, request, once, kept, ending), waitMicros);
+    }
+
+    /**
+     * Starts an attempt that may run again, and that is given up when nothing of its answer has come for so long, or after
+     * {@code mostMicros} in all: an answer that is long on its way over a narrow link is no silence.
+     */
+    public Attempt sendPatiently(
+            Peer node, FullHttpRequest request, long silentMicros, long mostMicros, int kept, Ending ending) {
+        PendingAttempt attempt = new PendingAttempt(this, node, request, false, kept, ending);
+        attempt.goesOnWhileItComes(silentMicros, now() + mostMicros);
+        return send(attempt, silentMicros);
+    }
+
+    private Attempt send(PendingAttempt attempt, long waitMicros) {
+        Peer node = attempt.node;
+        attempt.limit = loop.schedule(attempt::limited, Math.max(0, waitMicros), TimeUnit.MICROSECONDS);
+        UpstreamConnection connection = takeIdle(node.host(), attempt.once && dialect.forgets());
         if (connection != null) {
             connection.carry(attempt);
         } else {
--- a/src/main/java/gorsemast/http/UpstreamConnection.java
+++ b/src/main/java/gorsemast/http/UpstreamConnection.java
@@ -50,6 +50,11 @@
         this.idleMillis = upstream.idleMillis;
     }
 
+    /** When something of its attempt's answer came last; long ago where nothing has. */
+    long lastPartAt() {
+        return answer.isBegun() ? lastPart : Long.MIN_VALUE / 2;
+    }
+
     // ---- coming up
 
     void open() {
@@ -266,6 +271,7 @@
     }
 
     private void begin(HttpResponse start) {
+        lastPart = Upstream.now();
         // One that only the connection's end would mark as whole comes to its end after closeFuture, when its attempt
         // has
         // ended as a reset: it might have been cut anywhere.
@@ -308,10 +314,10 @@
             lost(); // no answer of ours, or one whose end could not be told from a cut, or nobody wants it any more
             return;
         }
+        lastPart = Upstream.now();
         if (passage == null) {
             answer.add(channel.alloc(), part.content());
         } else if (part.content().isReadable()) {
-            lastPart = Upstream.now();
             passage.part(part.content());
         }
         if (state.isWhole() && passage != null) { // its taker may have left within this part
--- a/src/main/java/gorsemast/proxy/Front.java
+++ b/src/main/java/gorsemast/proxy/Front.java
@@ -313,13 +313,13 @@
         }
 
         @Override
-        public void refused(long retryAfter) {
+        public void refused(long retryAfter, boolean sent) {
             open--;
             refuse(turn, retryAfter);
         }
 
         @Override
-        public void failed(boolean timeUp) {
+        public void failed(boolean timeUp, boolean sent) {
             open--;
             turn.answer(timeUp ? TIME_OUT : FAILED, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
         }
--- a/src/main/java/gorsemast/proxy/ObjectDesk.java
+++ b/src/main/java/gorsemast/proxy/ObjectDesk.java
@@ -1,7 +1,5 @@
 package gorsemast.proxy;
 
-import anisebend.Balancer.Code;
-import anisebend.Balancer.Note;
 import gorsemast.cache.Copy;
 import gorsemast.cache.Fetching;
 import gorsemast.cache.Fetching.FromHome;
@@ -17,22 +15,16 @@
 import gorsemast.dispatch.Sender;
 import gorsemast.gossip.GossipState;
 import gorsemast.http.Passage;
-import gorsemast.http.Upstream;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.DefaultHttpHeaders;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
-import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.HashSet;
 import java.util.HexFormat;
@@ -53,53 +45,36 @@
 final class ObjectDesk implements Fetching.Ways<FullHttpResponse> {
     /** An object of more bytes is passed on and not held. */
     static final int LARGEST = 2 << 20;
-    /** What a home adds to its answers: how old the copy is, for how long it may be held, and whether it may be at all. */
-    static final String AGE = "Home-Age";
 
-    static final String LIFE = "Home-Life";
-    static final String STEP = "Home-Step";
-    static final String LEFT = "Home-Budget";
-    static final String HOP = "Home-Hop";
-    static final int OUT_OF_STEP = 409;
     private static final int OK = 200;
     private static final int PARTIAL = 206;
     private static final int UNCHANGED = 304;
     private static final int RANGE = 416;
-    private static final int UNAVAILABLE = 503;
     private static final int TIME_OUT = 504;
 
-    private record Home(String host, InetSocketAddress dial) implements Upstream.Peer {}
-
     private final EventLoop loop;
     private final LongSupplier clock;
-    private final Upstream between;
+    private final HomeAsker asker;
     private final Function<String, Sender> senders;
-    private final Function<String, InetSocketAddress> objects;
     private final Supplier<Configuration> configuration;
     private final IntSupplier edges;
-    private final boolean keeps;
     private final SplittableRandom random;
     private Fetching<FullHttpResponse> fetching;
 
-    /** @param keeps whether connections to other edges are kept for the next request */
     ObjectDesk(
             EventLoop loop,
             LongSupplier clock,
-            Upstream between,
+            HomeAsker asker,
             Function<String, Sender> senders,
-            Function<String, InetSocketAddress> objects,
             Supplier<Configuration> configuration,
             IntSupplier edges,
-            boolean keeps,
             long seed) {
         this.loop = loop;
         this.clock = clock;
-        this.between = between;
+        this.asker = asker;
         this.senders = senders;
-        this.objects = objects;
         this.configuration = configuration;
         this.edges = edges;
-        this.keeps = keeps;
         this.random = new SplittableRandom(seed);
     }
 
@@ -180,6 +155,11 @@
                     direct.run();
                 }
             }
+
+            @Override
+            public void inHand() {
+                throw new IllegalStateException("only edges are told so");
+            }
         });
     }
 
@@ -192,62 +172,15 @@
 
     @Override
     public void home(
-            String edge, Wanted what, int hop, long step, long begun, long wait, FromHome<FullHttpResponse> ending) {
-        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, what.uri());
-        request.headers()
-                .set(HttpHeaderNames.HOST, what.host())
-                .set(STEP, Long.toHexString(step))
-                .set(LEFT, wait / 1_000)
-                .set(HOP, hop)
-                .set(HomeDialect.CALL, Long.toHexString(random.nextLong()));
-        HttpUtil.setKeepAlive(request, keeps);
-        between.send(
-                new Home(edge, objects.apply(edge)), request, wait, false, LARGEST + (1 << 16), new Upstream.Ending() {
-                    @Override
-                    public Passage begins(Note note, HttpResponse head, long length, Passage.Flow flow) {
-                        ending.useless(); // no home answers so
-                        return null;
-                    }
-
-                    @Override
-                    public void ended(Code code, Note note, FullHttpResponse answer) {
-                        if (answer == null) {
-                            ending.silent(code.calledOff);
-                            return;
-                        }
-                        int status = answer.status().code();
-                        String later = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
-                        Copy copy = status == OK ? handed(answer, begun) : null;
-                        if (copy != null) {
-                            ending.copy(copy);
-                        } else if (status == UNAVAILABLE && later != null) {
-                            ending.refused(Front.micros(later));
-                        } else if (status != OUT_OF_STEP && status < 500) {
-                            answer.headers().remove(HomeDialect.CALL);
-                            ending.other(answer);
-                        } else {
-                            ending.useless();
-                        }
-                    }
-                });
-    }
-
-    /** A home's answer as a copy, with the time that it has left here; null where it is none that can be vouched for. */
-    private static Copy handed(FullHttpResponse answer, long begun) {
-        String age = answer.headers().get(AGE);
-        String life = answer.headers().get(LIFE);
-        if (age == null || life == null || !answer.headers().contains(Network.SEAL)) {
-            return null;
-        }
-        HttpHeaders headers = new DefaultHttpHeaders();
-        Hops.copy(answer.headers(), headers);
-        headers.remove(AGE).remove(LIFE).remove(HomeDialect.CALL);
-        try {
-            // Its age counts from before it was asked for here: the way there and back is not known apart.
-            return copy(OK, headers, answer.content(), begun - Long.parseLong(age), Long.parseLong(life));
-        } catch (NumberFormatException e) {
-            return null; // whoever it was, it was no home
-        }
+            String edge,
+            Wanted what,
+            int hop,
+            long step,
+            long begun,
+            long wait,
+            long giveUp,
+            FromHome<FullHttpResponse> ending) {
+        asker.ask(edge, what, hop, step, begun, wait, giveUp, ending);
     }
 
     // ---- from the servers
@@ -319,19 +252,28 @@
                     }
 
                     @Override
-                    public void refused(long retryAfter) {
-                        ending.refused(retryAfter);
+                    public void refused(long retryAfter, boolean sent) {
+                        if (sent) {
+                            ending.refused(retryAfter);
+                        } else {
+                            ending.notSent(retryAfter);
+                        }
                     }
 
                     @Override
-                    public void failed(boolean timeUp) {
-                        ending.failed();
+                    public void failed(boolean timeUp, boolean sent) {
+                        if (sent) {
+                            ending.failed();
+                        } else {
+                            ending.notSent(Fetching.LATER_MICROS);
+                        }
                     }
                 });
         return true;
     }
 
-    private static Copy copy(int status, HttpHeaders headers, ByteBuf body, long asked, long ttl) {
+    /** An answer as a copy that was asked for then. */
+    static Copy copy(int status, HttpHeaders headers, ByteBuf body, long asked, long ttl) {
         Set<String> tags = new HashSet<>();
         for (String line : headers.getAll("Object-Tags")) {
             tags.addAll(Arrays.asList(line.trim().split(" +")));
--- a/src/main/java/gorsemast/proxy/ObjectsServer.java
+++ b/src/main/java/gorsemast/proxy/ObjectsServer.java
@@ -88,8 +88,8 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String host = request.headers().get(HttpHeaderNames.HOST);
-            String step = request.headers().get(ObjectDesk.STEP);
-            String left = request.headers().get(ObjectDesk.LEFT);
+            String step = request.headers().get(HomeDialect.STEP);
+            String left = request.headers().get(HomeDialect.LEFT);
             String number = request.headers().get(HomeDialect.CALL);
             boolean whole = host != null && step != null && left != null && number != null;
             if (!request.decoderResult().isSuccess() || !whole || call != null) {
@@ -103,26 +103,26 @@
             Route route =
                     now == null ? null : now.route(Configuration.host(host), query < 0 ? uri : uri.substring(0, query));
             if (route == null || route.kind() != Route.Kind.CACHEABLE) {
-                write(ctx, ObjectDesk.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+                write(ctx, HomeDialect.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
                 return;
             }
             keep = HttpUtil.isKeepAlive(request);
             long wait = Long.parseLong(left) * 1_000;
             desk.ask(
                     new Wanted(route, route.host(), uri),
-                    request.headers().getInt(ObjectDesk.HOP, Fetching.ASKED_AS_HOME),
+                    request.headers().getInt(HomeDialect.HOP, Fetching.ASKED_AS_HOME),
                     clock.getAsLong() + wait,
                     new Fetching.Waiter<>() {
                         @Override
                         public void here(Copy copy, boolean once) {
                             if (once || !inStep().equals(step)) {
-                                write(ctx, ObjectDesk.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+                                write(ctx, HomeDialect.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
                                 return;
                             }
                             HttpHeaders headers = new DefaultHttpHeaders();
                             copy.headers().forEach(header -> headers.add(header.getKey(), header.getValue()));
-                            headers.set(ObjectDesk.AGE, clock.getAsLong() - copy.asked())
-                                    .set(ObjectDesk.LIFE, copy.ttl());
+                            headers.set(HomeDialect.AGE, clock.getAsLong() - copy.asked())
+                                    .set(HomeDialect.LIFE, copy.ttl());
                             write(ctx, copy.status(), headers, Unpooled.wrappedBuffer(copy.body()));
                         }
 
@@ -146,7 +146,14 @@
 
                         @Override
                         public void tooLong() {
-                            write(ctx, ObjectDesk.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+                            write(ctx, HomeDialect.OUT_OF_STEP, new DefaultHttpHeaders(), Unpooled.EMPTY_BUFFER);
+                        }
+
+                        @Override
+                        public void inHand() {
+                            HttpHeaders headers = new DefaultHttpHeaders();
+                            headers.set(HomeDialect.IN_HAND, "1");
+                            write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE.code(), headers, Unpooled.EMPTY_BUFFER);
                         }
 
                         @Override
--- a/src/main/java/gorsemast/proxy/Places.java
+++ b/src/main/java/gorsemast/proxy/Places.java
@@ -4,8 +4,8 @@
  * How an edge divides its sockets between all who want some.
  *
  * <p>Where there are hundreds, each has what it may want. Where there are a few tens or less, links are fewer (one registry
- * tells all the news), connections between edges end with their answers, and of the rest clients have two thirds: each holds
- * a place for as long as its request takes, and those beyond wait in the system's queue.
+ * tells all the news), connections between edges end with their answers, and clients have the largest part: each
+ * holds a place for as long as its request takes, and those beyond wait in the system's queue.
  *
  * @param registries it keeps links to
  * @param watched other edges that it keeps links to
@@ -16,6 +16,8 @@
  */
 record Places(int registries, int watched, int servers, int between, int asked, int clients) {
     private static final int MANY = 128;
+    /** Of the rest, three such parts each go to questions out, questions in and servers; clients have what is left. */
+    private static final int PARTS = 14;
     /** Listeners for clients, probes and objects, a probe, a link being dialled anew. */
     private static final int FIXED = 5;
 
@@ -28,9 +30,9 @@
             return new Places(2, 2, servers, between, sockets / 6, sockets - links - servers - 2 * between - FIXED);
         }
         int left = Math.max(8, sockets - FIXED - 1);
-        int between = Math.max(2, left / 6);
-        int asked = Math.max(2, left / 6);
-        int servers = Math.max(2, (left - between - asked) / 3);
+        int between = Math.max(2, left * 3 / PARTS);
+        int asked = Math.max(2, left * 3 / PARTS);
+        int servers = Math.max(2, left * 3 / PARTS);
         return new Places(1, 0, servers, between, asked, Math.max(2, left - between - asked - servers));
     }
 
--- a/src/main/java/gorsemast/proxy/ProxyProgram.java
+++ b/src/main/java/gorsemast/proxy/ProxyProgram.java
@@ -122,12 +122,17 @@
         this.desk = new ObjectDesk(
                 loop,
                 this::now,
-                between,
+                new HomeAsker(
+                        loop,
+                        this::now,
+                        between,
+                        ip -> Ports.OBJECTS.at(settings, ip),
+                        places.between(),
+                        places.keeps(),
+                        random.nextLong()),
                 senders::get,
-                ip -> Ports.OBJECTS.at(settings, ip),
                 lookout::configuration,
                 lookout.homes()::count,
-                places.keeps(),
                 random.nextLong());
         this.fetching = new Fetching<>(
                 settings.ip(),
--- a/src/main/java/gorsemast/simulation/EdgeSender.java
+++ b/src/main/java/gorsemast/simulation/EdgeSender.java
@@ -27,8 +27,8 @@
         FAILED
     }
 
-    /** An end, with an object's version where it was served. */
-    record Result(End code, long version) {}
+    /** An end, with an object's version where it was served, and whether an attempt has gone out. */
+    record Result(End code, long version, boolean sent) {}
 
     private static final long BACKSTOP_MICROS = CallState.BACKSTOP_MICROS;
 
@@ -142,7 +142,7 @@
 
     private void conclude(Exchange x, End end, long version) {
         x.state.answered();
-        x.client.accept(new Result(end, version));
+        x.client.accept(new Result(end, version, x.state.hasGoneOut()));
     }
 
     private void forget(Exchange x) {
