--- a/src/main/java/gorsemast/cache/OriginRights.java
+++ b/src/main/java/gorsemast/cache/OriginRights.java
@@ -21,8 +21,8 @@
 public final class OriginRights {
     /** Of what servers bear, so much is sent: the rest is for what is seen otherwise at the servers than here. */
     private static final double SPENT = 0.95;
-    /** Of what is sent, so much is for the edges that fetch for all, where these are not all. */
-    private static final double FETCHERS_PART = 0.88;
+    /** Where nearly no edge fetches for all, the others have so much of what is sent; the more fetch, the less the others need. */
+    private static final double OTHERS_PART = 0.12;
 
     private static final double MICROS = 1e6;
 
@@ -113,7 +113,8 @@
         if (place.all()) {
             return dealt(whole, place.index(), place.count());
         }
-        long ofFetchers = Math.max(1, (long) (FETCHERS_PART * whole));
+        double others = OTHERS_PART * (place.fetches() ? homes.count() - place.count() : place.count()) / homes.count();
+        long ofFetchers = Math.max(1, (long) ((1 - others) * whole));
         return dealt(place.fetches() ? ofFetchers : whole - ofFetchers, place.index(), place.count());
     }
 
--- a/src/test/java/gorsemast/cache/OriginRightsTest.java
+++ b/src/test/java/gorsemast/cache/OriginRightsTest.java
@@ -35,6 +35,8 @@
         "65, 65, 210",
         "15, 2, 19.1",
         "85, 15, 126",
+        "16, 15, 15.7",
+        "300, 119, 119",
         "300, 50, 60",
         "500, 500, 100",
         "7, 7, 0.1"
@@ -44,6 +46,21 @@
         assertThat(sum(edges, fetchers, perSecond)).isEqualTo(whole);
     }
 
+    @Test
+    void theFewThatDoNotFetchHaveNoMoreThanThoseThatDo() {
+        Map<String, String> all = new HashMap<>();
+        for (int i = 0; i < 16; i++) {
+            all.put("10.0.0." + i, "z");
+        }
+        for (String edge : all.keySet()) {
+            Homes homes = new Homes(edge, "z");
+            homes.edges(all);
+            OriginRights rights = new OriginRights(() -> 100_000_000L, homes, WINDOW, service -> 15.7, service -> 15);
+            boolean fetches = homes.fetches("objects", 15);
+            assertThat(rights.part("objects")).isBetween(fetches ? 4L : 0L, fetches ? 5L : 1L);
+        }
+    }
+
     @Test
     void aPartShrinksAtOnceAndGrowsToWhatItWasEntitledToAllTheWhile() {
         GrowingPart part = new GrowingPart(WINDOW);
