--- a/src/main/java/gorsemast/cache/EdgeWaiter.java
+++ b/src/main/java/gorsemast/cache/EdgeWaiter.java
@@ -1,11 +1,11 @@
 package gorsemast.cache;
 
 /** Another edge that waits for an object: told once, whatever comes later. One thread. */
-final class EdgeWaiter<A> implements Fetching.Waiter<A> {
-    private final Fetching.Waiter<A> edge;
+final class EdgeWaiter<A> implements ObjectWaiter<A> {
+    private final ObjectWaiter<A> edge;
     private boolean over;
 
-    EdgeWaiter(Fetching.Waiter<A> edge) {
+    EdgeWaiter(ObjectWaiter<A> edge) {
         this.edge = edge;
     }
 
--- a/src/main/java/gorsemast/cache/Fetching.java
+++ b/src/main/java/gorsemast/cache/Fetching.java
@@ -1,7 +1,6 @@
 package gorsemast.cache;
 
 import gorsemast.admission.ComeBack;
-import gorsemast.configuration.Route;
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.GossipState;
 import gorsemast.gossip.PurgeNews;
@@ -26,7 +25,7 @@
  * service bears; those that nobody waits for have half of it.
  *
  * <p><b>Bounds.</b> {@link CopyCache}'s and as many fetches as there are requests. No I/O, no clock of its own, no threads:
- * {@link Ways} carry out. One caller; times in microseconds.
+ * {@link ObjectSources} carry out. One caller; times in microseconds.
  *
  * @param <A> an answer that is no copy, passed on as it is
  */
@@ -62,104 +61,19 @@
     /** When to come back where nothing better is known. */
     public static final long LATER_MICROS = 300_000;
 
-    /** An object that is asked for; {@code host} in lower case, {@code uri} with its query. */
-    public record Wanted(Route route, String host, String uri) {
-        /** What it is held under. */
-        public String key() {
-            return CopyCache.key(host, uri);
-        }
-    }
-
-    /** Who waits for an object; one of these is called, once. */
-    public interface Waiter<A> {
-        /** It is here; {@code once} where it may be told to whoever asked by now but not be held. */
-        void here(Copy copy, boolean once);
-
-        /** An answer that is no copy: passed on as it is; only lent. */
-        void other(A answer);
-
-        void refused(long retryAfterMicros);
-
-        void failed();
-
-        /** It is too long to be held, and has to be asked for without a copy. */
-        void tooLong();
-
-        /** The time of the edge that asks is nearly over, and it is still being fetched: ask again. Clients are never told. */
-        void inHand();
-    }
-
-    /** How a request to a home ended; one of these is called, once. */
-    public interface FromHome<A> {
-        /** A copy that may be held here as well. */
-        void copy(Copy copy);
-
-        void other(A answer);
-
-        void refused(long retryAfterMicros);
-
-        /** It answered, with nothing to go by. */
-        void useless();
-
-        /** It is still fetching the object. */
-        void inHand();
-
-        /** It did not answer in time; {@code ours} where that was this edge's own doing. */
-        void silent(boolean ours);
-    }
-
-    /** How a request to servers ended; one of these is called, once. */
-    public interface FromServers<A> {
-        void copy(Copy copy);
-
-        void other(A answer);
-
-        void refused(long retryAfterMicros);
-
-        /** Refused or failed before anything was sent. */
-        void notSent(long retryAfterMicros);
-
-        void failed();
-
-        void tooLong();
-    }
-
-    /** What carries requests out. */
-    public interface Ways<A> {
-        /**
-         * Asks another edge as {@code hop}, which is to say by {@code step} whether it knows of the same purges.
-         *
-         * @param wait it is silent when nothing of an answer has come for so long
-         * @param giveUp when an answer that is still coming in is of no use any more
-         */
-        void home(String edge, Wanted what, int hop, long step, long begun, long wait, long giveUp, FromHome<A> ending);
-
-        /** Asks a service's servers; false where there is no such service yet. */
-        boolean servers(String service, Wanted what, long asked, long giveUp, FromServers<A> ending);
-
-        /** What a service's servers bear from all edges, a second. */
-        double perSecond(String service);
-
-        /** Runs a task later, on the same thread. */
-        void later(long micros, Runnable task);
-
-        /** How many edges fetch its objects; as many as there are, or more, for all. */
-        int fetchers(String service);
-    }
-
     /** One fetch for all who ask meanwhile. */
     private final class Fetch {
         private boolean over;
         private int overdueChecks;
-        private final Wanted what;
+        private final WantedObject what;
         private final String key;
         private final long purges = shelf.number();
         private final long begun = clock.getAsLong();
-        private final List<Waiter<A>> waiters = new ArrayList<>();
+        private final List<ObjectWaiter<A>> waiters = new ArrayList<>();
         private int level;
         private int homes;
 
-        Fetch(Wanted what, String key, int level) {
+        Fetch(WantedObject what, String key, int level) {
             this.level = level;
             this.what = what;
             this.key = key;
@@ -168,7 +82,7 @@
 
         /** Whether it has been out for longer than its limits, one behind the other, allow. */
         private boolean isOverdue(long now) {
-            return now - begun > MOST_LIMITS * what.route.timeoutMicros() + OVERDUE_SLACK;
+            return now - begun > MOST_LIMITS * what.route().timeoutMicros() + OVERDUE_SLACK;
         }
 
         /** It waits for somebody else from now on; one that a purge has taken out stays so. */
@@ -180,7 +94,7 @@
         }
 
         /** Those who are to be told now; nobody where they have been told already. */
-        private List<Waiter<A>> over() {
+        private List<ObjectWaiter<A>> over() {
             if (over) {
                 invariants.violated(FetchInvariants.Violation.ENDED_TWICE);
                 return List.of();
@@ -193,7 +107,7 @@
 
         void here(Copy copy) {
             boolean once = shelf.purgedSince(purges, key, copy);
-            if (!once && what.route.ttlMicros() > 0) {
+            if (!once && what.route().ttlMicros() > 0) {
                 counters.add(FetchEvent.COPY_EVICTED, shelf.put(key, copy));
             }
             over().forEach(waiter -> waiter.here(copy, once));
@@ -208,12 +122,12 @@
         }
 
         void failed() {
-            over().forEach(Waiter::failed);
+            over().forEach(ObjectWaiter::failed);
         }
 
         void tooLong() {
             longs.put(key, Boolean.TRUE);
-            over().forEach(Waiter::tooLong);
+            over().forEach(ObjectWaiter::tooLong);
         }
     }
 
@@ -221,7 +135,7 @@
     private final CopyCache shelf;
     private final Homes homes;
     private final GossipState board;
-    private final Ways<A> ways;
+    private final ObjectSources<A> sources;
     private final String self;
     private final SplittableRandom random;
     private final OriginRights rights;
@@ -257,15 +171,15 @@
             GossipState board,
             long window,
             long seed,
-            Ways<A> ways) {
+            ObjectSources<A> sources) {
         this.self = self;
         this.clock = clock;
         this.shelf = shelf;
         this.homes = homes;
         this.board = board;
         this.random = new SplittableRandom(seed);
-        this.ways = ways;
-        this.rights = new OriginRights(clock, homes, window, ways::perSecond, ways::fetchers);
+        this.sources = sources;
+        this.rights = new OriginRights(clock, homes, window, sources::perSecond, sources::fetchers);
     }
 
     /** What has happened to requests for objects since the start. */
@@ -313,17 +227,17 @@
     }
 
     /** Whether it is known to be too long to be held. */
-    public boolean isLong(Wanted what) {
+    public boolean isLong(WantedObject what) {
         return longs.get(what.key()) != null;
     }
 
     /** A client asks: a copy that may be served now, which is renewed where its time is nearly over; null for none. */
-    public Copy held(Wanted what) {
+    public Copy held(WantedObject what) {
         long now = clock.getAsLong();
         String key = what.key();
-        demand(service(what)).asked(now);
+        demand(what.service()).asked(now);
         counters.count(FetchEvent.CLIENT_ASKED);
-        Copy copy = shelf.get(now, key, what.route.ttlMicros());
+        Copy copy = shelf.get(now, key, what.route().ttlMicros());
         if (copy != null) {
             counters.count(FetchEvent.CLIENT_HAD_COPY);
             renew(now, key, copy, what);
@@ -332,7 +246,7 @@
     }
 
     /** Asks for an object; {@code hop} says who asks, from {@link #ASKED_BY_CLIENT} on. */
-    public void ask(Wanted what, int hop, long giveUp, Waiter<A> waiter) {
+    public void ask(WantedObject what, int hop, long giveUp, ObjectWaiter<A> waiter) {
         if (hop <= ASKED_BY_CLIENT) {
             find(what, ASKED_BY_CLIENT, giveUp, waiter);
             return;
@@ -341,9 +255,9 @@
         long now = clock.getAsLong();
         EdgeWaiter<A> edge = new EdgeWaiter<>(waiter);
         // What it asks for is of use to others too, so it is fetched for as long as its route allows.
-        find(what, Math.min(ASKED_AS_FETCHER, hop), now + what.route.timeoutMicros(), edge);
+        find(what, Math.min(ASKED_AS_FETCHER, hop), now + what.route().timeoutMicros(), edge);
         if (!edge.isOver()) {
-            ways.later((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
+            sources.later((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
                 if (!edge.isOver()) {
                     counters.count(FetchEvent.EDGE_TOLD_IN_HAND);
                     edge.inHand();
@@ -352,9 +266,9 @@
         }
     }
 
-    private void find(Wanted what, int asked, long giveUp, Waiter<A> waiter) {
+    private void find(WantedObject what, int asked, long giveUp, ObjectWaiter<A> waiter) {
         String key = what.key();
-        Copy copy = shelf.get(clock.getAsLong(), key, what.route.ttlMicros());
+        Copy copy = shelf.get(clock.getAsLong(), key, what.route().ttlMicros());
         if (copy != null) {
             counters.count(FetchEvent.EDGE_HAD_COPY);
             waiter.here(copy, false);
@@ -383,8 +297,8 @@
      */
     private void begin(Fetch fetch, int hop, long giveUp) {
         long now = clock.getAsLong();
-        String service = service(fetch.what);
-        int many = ways.fetchers(service);
+        String service = fetch.what.service();
+        int many = sources.fetchers(service);
         boolean all = many >= homes.count();
         String next = hop == ASKED_BY_CLIENT ? homes.of(now, fetch.key, all && zoned(service)) : self;
         int told = ASKED_AS_HOME;
@@ -399,7 +313,7 @@
             servers(fetch, fetch.waiters.isEmpty());
         } else {
             double part = hop == ASKED_BY_CLIENT ? WAITS_FOR_HOME : WAITS_FOR_FETCHER;
-            long patient = patience.micros(fetch.what.route.aimMicros());
+            long patient = patience.micros(fetch.what.route().aimMicros());
             home(fetch, next, told, giveUp, (long) Math.min(patient, part * (giveUp - now)));
         }
     }
@@ -415,8 +329,8 @@
 
     /** A home was of no use: the edge that fetches, where this is none, or else the servers. */
     private void beyond(Fetch fetch, long giveUp) {
-        String service = service(fetch.what);
-        if (fetch.homes < MOST_HOMES && !homes.fetches(service, ways.fetchers(service))) {
+        String service = fetch.what.service();
+        if (fetch.homes < MOST_HOMES && !homes.fetches(service, sources.fetchers(service))) {
             begin(fetch, ASKED_AS_HOME, giveUp);
         } else {
             servers(fetch, false);
@@ -424,23 +338,29 @@
     }
 
     /** A copy that is asked for near its end is fetched anew before it has ended; nobody waits for that. */
-    private void renew(long now, String key, Copy copy, Wanted what) {
-        long life = Math.min(copy.ttl(), what.route.ttlMicros());
+    private void renew(long now, String key, Copy copy, WantedObject what) {
+        long life = Math.min(copy.ttl(), what.route().ttlMicros());
         if (now - copy.asked() > RENEW_FROM * life && fetches.stream().noneMatch(of -> of.containsKey(key))) {
             counters.count(FetchEvent.RENEWAL);
             Fetch fetch = new Fetch(what, key, ASKED_BY_CLIENT);
             fetches.get(ASKED_BY_CLIENT).put(key, fetch);
-            begin(fetch, ASKED_BY_CLIENT, now + what.route.timeoutMicros());
+            begin(fetch, ASKED_BY_CLIENT, now + what.route().timeoutMicros());
         }
     }
 
     private void home(Fetch fetch, String home, int hop, long giveUp, long wait) {
-        long asked = clock.getAsLong();
-        boolean atHome = hop == ASKED_AS_HOME;
-        counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
         fetch.homes++;
         fetch.waitsAt(hop - 1);
-        ways.home(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp, new FromHome<>() {
+        ask(fetch, new HomeQuestion(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp));
+    }
+
+    private void ask(Fetch fetch, HomeQuestion question) {
+        long asked = clock.getAsLong();
+        String home = question.edge();
+        long giveUp = question.giveUp();
+        boolean atHome = question.hop() == ASKED_AS_HOME;
+        counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
+        sources.home(question, new HomeAnswer<>() {
             private void answered() {
                 long now = clock.getAsLong();
                 patience.answered(now - asked);
@@ -487,7 +407,7 @@
                     if (!homes.failed(clock.getAsLong(), home, asked)) {
                         counters.count(FetchEvent.SILENT_TO_ONE);
                     }
-                    afterSilence(fetch, hop, giveUp);
+                    afterSilence(fetch, question.hop(), giveUp);
                 }
             }
 
@@ -497,10 +417,9 @@
                 count(FetchEvent.HOME_IN_HAND, FetchEvent.FETCHER_IN_HAND);
                 long left = giveUp - clock.getAsLong();
                 if (left < LEAST_LEFT) {
-                    fetch.failed();
+                    fetch.refused(LATER_MICROS); // some of those who wait have time left to come back, and will find it
                 } else {
-                    fetch.homes--;
-                    home(fetch, home, hop, giveUp, Math.min(wait, left));
+                    ask(fetch, question.again(board.purgeDigest(), Math.min(question.patience(), left)));
                 }
             }
         });
@@ -515,10 +434,6 @@
         return right != null;
     }
 
-    private static String service(Wanted what) {
-        return what.route.services().get(0).service();
-    }
-
     private Demand demand(String service) {
         return demands.computeIfAbsent(service, name -> new Demand());
     }
@@ -528,19 +443,21 @@
      * they would bear it even if nothing were held.
      */
     private boolean zoned(String service) {
-        return demand(service).zoned(clock.getAsLong(), ways.perSecond(service), homes.count());
+        return demand(service).zoned(clock.getAsLong(), sources.perSecond(service), homes.count());
     }
 
     private void servers(Fetch fetch, boolean ahead) {
         long asked = clock.getAsLong();
         fetch.waitsAt(ASKED_AS_FETCHER);
-        String service = fetch.what.route.service(random.nextDouble());
+        String service = fetch.what.route().service(random.nextDouble());
         OriginRights.Right right = rights.take(service, ahead);
         if (right == null) {
             long roomIn = rights.roomIn(service);
-            if (!ahead && asked + roomIn - fetch.begun < WAITS_OF_AIM * fetch.what.route.aimMicros()) {
+            if (!ahead
+                    && asked + roomIn - fetch.begun
+                            < WAITS_OF_AIM * fetch.what.route().aimMicros()) {
                 counters.count(FetchEvent.RIGHT_AWAITED);
-                ways.later(roomIn, () -> servers(fetch, false)); // in time yet
+                sources.later(roomIn, () -> servers(fetch, false)); // in time yet
             } else {
                 counters.count(FetchEvent.RIGHT_REFUSED);
                 fetch.refused(comeBack.refused(roomIn, random.nextDouble()));
@@ -548,8 +465,8 @@
             return;
         }
         counters.count(FetchEvent.RIGHT_TAKEN);
-        boolean known =
-                ways.servers(service, fetch.what, asked, asked + fetch.what.route.timeoutMicros(), new FromServers<>() {
+        boolean known = sources.servers(
+                service, fetch.what, asked, asked + fetch.what.route().timeoutMicros(), new ServerAnswer<>() {
                     private void count(FetchEvent event) {
                         counters.count(event, clock.getAsLong() - asked);
                     }
--- a/src/main/java/gorsemast/proxy/HomeAsker.java
+++ b/src/main/java/gorsemast/proxy/HomeAsker.java
@@ -3,8 +3,9 @@
 import anisebend.Balancer.Code;
 import anisebend.Balancer.Note;
 import gorsemast.cache.Copy;
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.Wanted;
+import gorsemast.cache.HomeAnswer;
+import gorsemast.cache.HomeQuestion;
+import gorsemast.cache.WantedObject;
 import gorsemast.dispatch.Hops;
 import gorsemast.dispatch.Network;
 import gorsemast.http.Passage;
@@ -33,6 +34,7 @@
     private static final int OK = 200;
     private static final int FAILED = 500;
     private static final int UNAVAILABLE = 503;
+    private static final long MICROS_PER_MILLI = 1_000;
     /** What an answer may have beside its body. */
     private static final int HEAD_BYTES = 1 << 16;
 
@@ -68,21 +70,13 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** As {@link gorsemast.cache.Fetching.Ways#home} says. */
-    void ask(
-            String edge,
-            Wanted what,
-            int hop,
-            long step,
-            long begun,
-            long wait,
-            long giveUp,
-            FromHome<FullHttpResponse> ending) {
+    /** Asks as {@link gorsemast.cache.ObjectSources#home} says. */
+    void ask(HomeQuestion question, HomeAnswer<FullHttpResponse> ending) {
         queue.add(
                 new AskQueue.Ask() {
                     @Override
                     public void start() {
-                        send(edge, question(what, hop, step, wait), begun, wait, giveUp, ending);
+                        send(question, ending);
                     }
 
                     @Override
@@ -90,32 +84,27 @@
                         ending.silent(true);
                     }
                 },
-                wait);
+                question.patience());
     }
 
-    private FullHttpRequest question(Wanted what, int hop, long step, long wait) {
+    private FullHttpRequest message(HomeQuestion question) {
+        WantedObject what = question.what();
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, what.uri());
         request.headers()
                 .set(HttpHeaderNames.HOST, what.host())
-                .set(HomeDialect.STEP, Long.toHexString(step))
-                .set(HomeDialect.LEFT, wait / 1_000)
-                .set(HomeDialect.HOP, hop)
+                .set(HomeDialect.STEP, Long.toHexString(question.step()))
+                .set(HomeDialect.LEFT, question.patience() / MICROS_PER_MILLI)
+                .set(HomeDialect.HOP, question.hop())
                 .set(HomeDialect.CALL, Long.toHexString(random.nextLong()));
         HttpUtil.setKeepAlive(request, keeps);
         return request;
     }
 
-    private void send(
-            String edge,
-            FullHttpRequest request,
-            long begun,
-            long wait,
-            long giveUp,
-            FromHome<FullHttpResponse> ending) {
-        Home home = new Home(edge, addresses.apply(edge));
-        long most = giveUp - clock.getAsLong();
+    private void send(HomeQuestion question, HomeAnswer<FullHttpResponse> ending) {
+        Home home = new Home(question.edge(), addresses.apply(question.edge()));
+        long most = question.giveUp() - clock.getAsLong();
         int kept = ObjectDesk.LARGEST + HEAD_BYTES;
-        between.sendPatiently(home, request, wait, most, kept, new Upstream.Ending() {
+        between.sendPatiently(home, message(question), question.patience(), most, kept, new Upstream.Ending() {
             @Override
             public Passage begins(Note note, HttpResponse head, long length, Passage.Flow flow) {
                 queue.over();
@@ -129,13 +118,13 @@
                 if (answer == null) {
                     ending.silent(code.calledOff);
                 } else {
-                    answered(answer, begun, ending);
+                    answered(answer, question.begun(), ending);
                 }
             }
         });
     }
 
-    private static void answered(FullHttpResponse answer, long begun, FromHome<FullHttpResponse> ending) {
+    private static void answered(FullHttpResponse answer, long begun, HomeAnswer<FullHttpResponse> ending) {
         int status = answer.status().code();
         String later = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
         Copy copy = status == OK ? handed(answer, begun) : null;
--- a/src/main/java/gorsemast/proxy/ObjectDesk.java
+++ b/src/main/java/gorsemast/proxy/ObjectDesk.java
@@ -2,9 +2,12 @@
 
 import gorsemast.cache.Copy;
 import gorsemast.cache.Fetching;
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.FromServers;
-import gorsemast.cache.Fetching.Wanted;
+import gorsemast.cache.HomeAnswer;
+import gorsemast.cache.HomeQuestion;
+import gorsemast.cache.ObjectSources;
+import gorsemast.cache.ObjectWaiter;
+import gorsemast.cache.ServerAnswer;
+import gorsemast.cache.WantedObject;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.Call;
@@ -42,7 +45,7 @@
  * Serves objects to clients, and carries out over HTTP what {@link Fetching} decides: asks homes and servers, and makes
  * copies of what they answer. All on one event loop.
  */
-final class ObjectDesk implements Fetching.Ways<FullHttpResponse> {
+final class ObjectDesk implements ObjectSources<FullHttpResponse> {
     /** An object of more bytes is passed on and not held. */
     static final int LARGEST = 2 << 20;
 
@@ -85,7 +88,7 @@
 
     /** A client's request for an object; {@code direct} sends it on without a copy. */
     void serve(Turn turn, Route route, String attemptId, long giveUp, Runnable direct) {
-        Wanted what = new Wanted(route, route.host(), turn.uri());
+        WantedObject what = new WantedObject(route, route.host(), turn.uri());
         Copy copy = fetching.held(what);
         if (copy == null && fetching.isLong(what)) {
             direct.run();
@@ -108,7 +111,7 @@
             over[0] = true;
             limit.cancel(false);
         });
-        fetching.ask(what, Fetching.ASKED_BY_CLIENT, giveUp, new Fetching.Waiter<>() {
+        fetching.ask(what, Fetching.ASKED_BY_CLIENT, giveUp, new ObjectWaiter<>() {
             private boolean done() {
                 limit.cancel(false);
                 boolean was = over[0];
@@ -164,23 +167,15 @@
     }
 
     /** Another edge asks for an object whose home this is. */
-    void ask(Wanted what, int hop, long giveUp, Fetching.Waiter<FullHttpResponse> waiter) {
+    void ask(WantedObject what, int hop, long giveUp, ObjectWaiter<FullHttpResponse> waiter) {
         fetching.ask(what, hop, giveUp, waiter);
     }
 
     // ---- from the home
 
     @Override
-    public void home(
-            String edge,
-            Wanted what,
-            int hop,
-            long step,
-            long begun,
-            long wait,
-            long giveUp,
-            FromHome<FullHttpResponse> ending) {
-        asker.ask(edge, what, hop, step, begun, wait, giveUp, ending);
+    public void home(HomeQuestion question, HomeAnswer<FullHttpResponse> ending) {
+        asker.ask(question, ending);
     }
 
     // ---- from the servers
@@ -209,7 +204,8 @@
     }
 
     @Override
-    public boolean servers(String service, Wanted what, long asked, long giveUp, FromServers<FullHttpResponse> ending) {
+    public boolean servers(
+            String service, WantedObject what, long asked, long giveUp, ServerAnswer<FullHttpResponse> ending) {
         Sender sender = senders.apply(service);
         if (sender == null) {
             return false;
--- a/src/main/java/gorsemast/proxy/ObjectsServer.java
+++ b/src/main/java/gorsemast/proxy/ObjectsServer.java
@@ -2,7 +2,8 @@
 
 import gorsemast.cache.Copy;
 import gorsemast.cache.Fetching;
-import gorsemast.cache.Fetching.Wanted;
+import gorsemast.cache.ObjectWaiter;
+import gorsemast.cache.WantedObject;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.Hops;
@@ -109,10 +110,10 @@
             keep = HttpUtil.isKeepAlive(request);
             long wait = Long.parseLong(left) * 1_000;
             desk.ask(
-                    new Wanted(route, route.host(), uri),
+                    new WantedObject(route, route.host(), uri),
                     request.headers().getInt(HomeDialect.HOP, Fetching.ASKED_AS_HOME),
                     clock.getAsLong() + wait,
-                    new Fetching.Waiter<>() {
+                    new ObjectWaiter<>() {
                         @Override
                         public void here(Copy copy, boolean once) {
                             if (once || !inStep().equals(step)) {
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -3,9 +3,12 @@
 import gorsemast.cache.Copy;
 import gorsemast.cache.CopyCache;
 import gorsemast.cache.Fetching;
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.FromServers;
-import gorsemast.cache.Fetching.Wanted;
+import gorsemast.cache.HomeAnswer;
+import gorsemast.cache.HomeQuestion;
+import gorsemast.cache.ObjectSources;
+import gorsemast.cache.ObjectWaiter;
+import gorsemast.cache.ServerAnswer;
+import gorsemast.cache.WantedObject;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.Briefing;
@@ -29,7 +32,7 @@
  * An edge's program round its decisions: {@link ProxyNode}, {@link Fetching}, and a sender for each service. Requests and
  * answers between edges and servers are calls in virtual time where HTTP stands in service.
  */
-final class Edge extends Process implements ProxyNode.Follower, Fetching.Ways<String> {
+final class Edge extends Process implements ProxyNode.Follower, ObjectSources<String> {
     private static final long OBJECT_MICROS = 1_500_000;
 
     /** How a client's request ended. */
@@ -133,7 +136,7 @@
         } else if (route == null) {
             answer.accept(new Answer(Told.NO_ROUTE, 0, false));
         } else if (route.kind() == Route.Kind.CACHEABLE) {
-            object(new Wanted(route, World.HOST, path), answer);
+            object(new WantedObject(route, World.HOST, path), answer);
         } else {
             EdgeSender sender = senders.get(route.service(world.random.nextDouble()));
             if (sender == null) {
@@ -155,7 +158,7 @@
         }
     }
 
-    private void object(Wanted what, Consumer<Answer> answer) {
+    private void object(WantedObject what, Consumer<Answer> answer) {
         Copy held = fetching.held(what);
         if (held != null) {
             answer.accept(new Answer(Told.SERVED, version(held), true));
@@ -168,7 +171,7 @@
                 answer.accept(new Answer(Told.FAILED, 0, false));
             }
         });
-        fetching.ask(what, Fetching.ASKED_BY_CLIENT, now() + OBJECT_MICROS, new Fetching.Waiter<>() {
+        fetching.ask(what, Fetching.ASKED_BY_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
             private void end(Answer with) {
                 if (!over[0]) {
                     over[0] = true;
@@ -220,26 +223,22 @@
     // ---- objects, from homes and servers
 
     @Override
-    public void home(
-            String ip, Wanted what, int hop, long step, long begun, long wait, long giveUp, FromHome<String> ending) {
+    public void home(HomeQuestion question, HomeAnswer<String> ending) {
         boolean[] over = new boolean[1];
-        after(wait, () -> {
+        after(question.patience(), () -> {
             if (!over[0]) {
                 over[0] = true;
                 ending.silent(false);
             }
         });
-        world.message(machine, ip, Program.PROXY, there -> ((Edge) there)
+        world.message(machine, question.edge(), Program.PROXY, there -> ((Edge) there)
                 .asked(
-                        what,
-                        hop,
-                        step,
-                        wait,
+                        question,
                         (end, version, age, ttl) -> world.message(there.machine, machine.ip, Program.PROXY, here -> {
                             if (here == this && !over[0]) {
                                 over[0] = true;
                                 switch (end) {
-                                    case COPY -> ending.copy(copy(version, begun - age, ttl));
+                                    case COPY -> ending.copy(copy(version, question.begun() - age, ttl));
                                     case USELESS -> ending.useless();
                                     case IN_HAND -> ending.inHand();
                                     case REFUSED -> ending.refused(Fetching.LATER_MICROS);
@@ -265,53 +264,58 @@
         }
     }
 
-    private void asked(Wanted what, int hop, long step, long wait, Handed handed) {
+    private void asked(HomeQuestion question, Handed handed) {
+        WantedObject what = question.what();
         Configuration now = lookout.configuration();
         Route route = now == null ? null : now.route(what.host(), what.uri());
         if (route == null || route.kind() != Route.Kind.CACHEABLE) {
             handed.answer(HomeEnd.USELESS);
             return;
         }
-        fetching.ask(new Wanted(route, what.host(), what.uri()), hop, now() + wait, new Fetching.Waiter<>() {
-            @Override
-            public void here(Copy copy, boolean once) {
-                boolean inStep = !once && lookout.board().purgeDigest() == step;
-                if (inStep) {
-                    handed.answer(HomeEnd.COPY, version(copy), now() - copy.asked(), copy.ttl());
-                } else {
-                    handed.answer(HomeEnd.USELESS);
-                }
-            }
-
-            @Override
-            public void other(String status) {
-                handed.answer(HomeEnd.USELESS);
-            }
-
-            @Override
-            public void refused(long retryAfterMicros) {
-                handed.answer(HomeEnd.REFUSED);
-            }
-
-            @Override
-            public void failed() {
-                handed.answer(HomeEnd.USELESS);
-            }
-
-            @Override
-            public void tooLong() {
-                handed.answer(HomeEnd.USELESS);
-            }
-
-            @Override
-            public void inHand() {
-                handed.answer(HomeEnd.IN_HAND);
-            }
-        });
+        fetching.ask(
+                new WantedObject(route, what.host(), what.uri()),
+                question.hop(),
+                now() + question.patience(),
+                new ObjectWaiter<>() {
+                    @Override
+                    public void here(Copy copy, boolean once) {
+                        boolean inStep = !once && lookout.board().purgeDigest() == question.step();
+                        if (inStep) {
+                            handed.answer(HomeEnd.COPY, version(copy), now() - copy.asked(), copy.ttl());
+                        } else {
+                            handed.answer(HomeEnd.USELESS);
+                        }
+                    }
+
+                    @Override
+                    public void other(String status) {
+                        handed.answer(HomeEnd.USELESS);
+                    }
+
+                    @Override
+                    public void refused(long retryAfterMicros) {
+                        handed.answer(HomeEnd.REFUSED);
+                    }
+
+                    @Override
+                    public void failed() {
+                        handed.answer(HomeEnd.USELESS);
+                    }
+
+                    @Override
+                    public void tooLong() {
+                        handed.answer(HomeEnd.USELESS);
+                    }
+
+                    @Override
+                    public void inHand() {
+                        handed.answer(HomeEnd.IN_HAND);
+                    }
+                });
     }
 
     @Override
-    public boolean servers(String service, Wanted what, long asked, long giveUp, FromServers<String> ending) {
+    public boolean servers(String service, WantedObject what, long asked, long giveUp, ServerAnswer<String> ending) {
         EdgeSender sender = senders.get(service);
         if (sender == null) {
             return false;
--- a/src/test/java/gorsemast/cache/FetchInvariantsTest.java
+++ b/src/test/java/gorsemast/cache/FetchInvariantsTest.java
@@ -2,9 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.FromServers;
-import gorsemast.cache.Fetching.Wanted;
 import gorsemast.configuration.Route;
 import gorsemast.gossip.GossipState;
 import java.util.ArrayList;
@@ -14,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Each invariant is found violated where what carries requests out breaks its word. */
-class FetchInvariantsTest implements Fetching.Ways<String> {
+class FetchInvariantsTest implements ObjectSources<String> {
     private static final Route ROUTE = new Route(
             "r",
             "h",
@@ -26,9 +23,9 @@
             List.of(new Route.Weighted("s", 1)),
             2,
             10_000_000);
-    private static final Wanted WANTED = new Wanted(ROUTE, "h", "/o/1");
+    private static final WantedObject WANTED = new WantedObject(ROUTE, "h", "/o/1");
 
-    private final List<FromServers<String>> fetched = new ArrayList<>();
+    private final List<ServerAnswer<String>> fetched = new ArrayList<>();
     private long now = 100_000_000;
     private final Fetching<String> fetching = new Fetching<>(
             "e", () -> now, new CopyCache(1 << 20), new Homes("e", "z"), new GossipState(), 5_000_000, 1, this);
@@ -40,7 +37,7 @@
     }
 
     private void ask() {
-        fetching.ask(WANTED, Fetching.ASKED_BY_CLIENT, now + 1_000_000, new Fetching.Waiter<>() {
+        fetching.ask(WANTED, Fetching.ASKED_BY_CLIENT, now + 1_000_000, new ObjectWaiter<>() {
             @Override
             public void here(Copy copy, boolean once) {
                 told++;
@@ -112,13 +109,12 @@
     }
 
     @Override
-    public void home(
-            String edge, Wanted what, int hop, long step, long begun, long wait, long giveUp, FromHome<String> ending) {
+    public void home(HomeQuestion question, HomeAnswer<String> ending) {
         throw new IllegalStateException("the only edge");
     }
 
     @Override
-    public boolean servers(String service, Wanted what, long asked, long giveUp, FromServers<String> ending) {
+    public boolean servers(String service, WantedObject what, long asked, long giveUp, ServerAnswer<String> ending) {
         fetched.add(ending);
         return true;
     }
--- a/src/test/java/gorsemast/cache/FetchingTest.java
+++ b/src/test/java/gorsemast/cache/FetchingTest.java
@@ -2,9 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.FromServers;
-import gorsemast.cache.Fetching.Wanted;
 import gorsemast.configuration.Route;
 import gorsemast.gossip.GossipState;
 import gorsemast.gossip.PurgeNews;
@@ -19,20 +16,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Where objects come from, with homes and servers that answer when the test says so. */
-class FetchingTest implements Fetching.Ways<String> {
+class FetchingTest implements ObjectSources<String> {
     private static final long TTL = 10_000_000;
     private static final Route ROUTE = new Route(
             "r", "h", "/o/", Route.Kind.CACHEABLE, 1_500_000, 200_000, 1, List.of(new Route.Weighted("s", 1)), 2, TTL);
 
     private record Later(long at, Runnable task) {}
 
-    private record Asked(String edge, int hop, long step, FromHome<String> ending) {}
+    private record Asked(String edge, int hop, long step, HomeAnswer<String> ending) {}
 
     private final GossipState board = new GossipState();
     private final CopyCache shelf = new CopyCache(1 << 20);
     private final Homes homes = new Homes("e0", "z");
     private final Deque<Asked> asked = new ArrayDeque<>();
-    private final Deque<FromServers<String>> fetched = new ArrayDeque<>();
+    private final Deque<ServerAnswer<String>> fetched = new ArrayDeque<>();
     private final List<Later> later = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private long now = 100_000_000;
@@ -51,17 +48,17 @@
     }
 
     /** An object whose home is this edge, or another one; and whether this edge is to fetch for others. */
-    private Wanted wanted(boolean here) {
+    private WantedObject wanted(boolean here) {
         for (int i = 0; ; i++) {
-            Wanted what = new Wanted(ROUTE, "h", "/o/" + i);
+            WantedObject what = new WantedObject(ROUTE, "h", "/o/" + i);
             if (homes.of(now, what.key(), false).equals("e0") == here) {
                 return what;
             }
         }
     }
 
-    private void ask(Wanted what, int hop) {
-        fetching.ask(what, hop, now + 1_000_000, new Fetching.Waiter<>() {
+    private void ask(WantedObject what, int hop) {
+        fetching.ask(what, hop, now + 1_000_000, new ObjectWaiter<>() {
             @Override
             public void here(Copy copy, boolean once) {
                 told.add(once ? "once" : "here");
@@ -108,7 +105,7 @@
 
     @Test
     void allWhoAskMeanwhileHaveOneFetch() {
-        Wanted what = wanted(true);
+        WantedObject what = wanted(true);
         ask(what, Fetching.ASKED_BY_CLIENT);
         ask(what, Fetching.ASKED_AS_HOME);
         assertThat(fetched).hasSize(1);
@@ -119,7 +116,7 @@
 
     @Test
     void whatWasAskedForBeforeAPurgeIsNotHeldAfterIt() {
-        Wanted what = wanted(true);
+        WantedObject what = wanted(true);
         ask(what, Fetching.ASKED_BY_CLIENT);
         fetching.purged(new PurgeNews("p", "", "", "red").item(now));
         fetched.poll().copy(copy());
@@ -129,7 +126,7 @@
 
     @Test
     void whoAsksAfterAPurgeByPathGetsAnotherFetch() {
-        Wanted what = wanted(true);
+        WantedObject what = wanted(true);
         ask(what, Fetching.ASKED_BY_CLIENT);
         fetching.purged(new PurgeNews("p", "h", what.uri(), "").item(now));
         ask(what, Fetching.ASKED_BY_CLIENT);
@@ -142,7 +139,7 @@
 
     @Test
     void aHomeIsAskedWithWhatIsKnownOfPurgesAndPassedOverWhenSilent() {
-        Wanted what = wanted(false);
+        WantedObject what = wanted(false);
         board.merge(now, new PurgeNews("p", "h", "/other", "").item(now));
         ask(what, Fetching.ASKED_BY_CLIENT);
         Asked first = asked.poll();
@@ -161,7 +158,7 @@
 
     @Test
     void aHomeThatIsStillFetchingIsAskedAgainAndNotPassedOver() {
-        Wanted what = wanted(false);
+        WantedObject what = wanted(false);
         ask(what, Fetching.ASKED_BY_CLIENT);
         Asked first = asked.poll();
         for (int i = 0; i < 5; i++) {
@@ -177,9 +174,18 @@
         assertThat(homes.of(now, what.key(), false)).isEqualTo(first.edge);
     }
 
+    @Test
+    void whoHasNoTimeToAskAgainIsToldToComeBack() {
+        ask(wanted(false), Fetching.ASKED_BY_CLIENT);
+        now += 980_000;
+        asked.poll().ending.inHand();
+        assertThat(asked).isEmpty();
+        assertThat(told).containsExactly("refused 0");
+    }
+
     @Test
     void whoAsksAHomeIsAnsweredWithinItsTimeThoughTheFetchGoesOn() {
-        Wanted what = wanted(true);
+        WantedObject what = wanted(true);
         ask(what, Fetching.ASKED_AS_HOME);
         pass(900_000);
         assertThat(told).containsExactly("in hand");
@@ -196,13 +202,13 @@
         perSecond = 3.4; // 16 in a window: two for each of eight edges, one of them within half a second
         now += 10_000_000;
         for (int i = 0; i < 20; i++) {
-            ask(new Wanted(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_FETCHER);
+            ask(new WantedObject(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_FETCHER);
             assertThat(fetched).as("the right of the last one is free").hasSize(1);
             fetched.poll().notSent(1);
         }
-        ask(new Wanted(ROUTE, "h", "/o/sent"), Fetching.ASKED_AS_FETCHER);
+        ask(new WantedObject(ROUTE, "h", "/o/sent"), Fetching.ASKED_AS_FETCHER);
         fetched.poll().refused(1);
-        ask(new Wanted(ROUTE, "h", "/o/after"), Fetching.ASKED_AS_FETCHER);
+        ask(new WantedObject(ROUTE, "h", "/o/after"), Fetching.ASKED_AS_FETCHER);
         assertThat(fetched).as("a server may have got that one").isEmpty();
     }
 
@@ -228,7 +234,7 @@
 
     @Test
     void whoWaitsForAHomeDoesNotMakeTheHomeWait() {
-        Wanted what = wanted(false);
+        WantedObject what = wanted(false);
         ask(what, Fetching.ASKED_BY_CLIENT);
         assertThat(asked).hasSize(1);
         ask(what, Fetching.ASKED_AS_FETCHER);
@@ -245,14 +251,14 @@
         perSecond = 80; // ten a second for each of eight edges: 47 in a window, seven in half a second
         now += 10_000_000; // longer than a window after the start
         for (int i = 0; fetched.size() < 7; i++) {
-            ask(new Wanted(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_HOME);
+            ask(new WantedObject(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_HOME);
         }
-        ask(new Wanted(ROUTE, "h", "/o/more"), Fetching.ASKED_AS_HOME);
+        ask(new WantedObject(ROUTE, "h", "/o/more"), Fetching.ASKED_AS_HOME);
         assertThat(told).as("half a second is more than a part of its aim").hasSize(1);
         assertThat(told.get(0)).startsWith("refused ");
         pass(480_000);
         told.clear();
-        ask(new Wanted(ROUTE, "h", "/o/waits"), Fetching.ASKED_AS_HOME);
+        ask(new WantedObject(ROUTE, "h", "/o/waits"), Fetching.ASKED_AS_HOME);
         assertThat(told).as("20 ms are not").isEmpty();
         assertThat(fetched).hasSize(7);
         pass(20_000);
@@ -260,13 +266,12 @@
     }
 
     @Override
-    public void home(
-            String edge, Wanted what, int hop, long step, long begun, long wait, long giveUp, FromHome<String> ending) {
-        asked.add(new Asked(edge, hop, step, ending));
+    public void home(HomeQuestion question, HomeAnswer<String> ending) {
+        asked.add(new Asked(question.edge(), question.hop(), question.step(), ending));
     }
 
     @Override
-    public boolean servers(String service, Wanted what, long at, long giveUp, FromServers<String> ending) {
+    public boolean servers(String service, WantedObject what, long at, long giveUp, ServerAnswer<String> ending) {
         fetched.add(ending);
         return true;
     }
--- a/src/test/java/gorsemast/cache/ObjectFleet.java
+++ b/src/test/java/gorsemast/cache/ObjectFleet.java
@@ -1,8 +1,5 @@
 package gorsemast.cache;
 
-import gorsemast.cache.Fetching.FromHome;
-import gorsemast.cache.Fetching.FromServers;
-import gorsemast.cache.Fetching.Wanted;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.Crowd;
 import gorsemast.gossip.GossipState;
@@ -104,7 +101,7 @@
         }
     }
 
-    private record Ask(Wanted what, long begun, boolean again) {}
+    private record Ask(WantedObject what, long begun, boolean again) {}
 
     private final Setup setup;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -260,7 +257,7 @@
         long at = 0;
         while (at < setup.seconds() * SECOND) {
             at += (long) (-Math.log(1 - draws.nextDouble()) / setup.requests() * SECOND);
-            Wanted what = object(draws.nextDouble());
+            WantedObject what = object(draws.nextDouble());
             long begun = START + at;
             after(at, () -> {
                 asked++;
@@ -269,7 +266,7 @@
         }
     }
 
-    private Wanted object(double draw) {
+    private WantedObject object(double draw) {
         int low = 0;
         int high = OBJECTS - 1;
         while (low < high) {
@@ -281,7 +278,7 @@
             }
         }
         Route route = low < SMALL ? NOTICES : TABLES;
-        return new Wanted(route, "h", route.prefix() + low);
+        return new WantedObject(route, "h", route.prefix() + low);
     }
 
     private void client(Ask ask) {
@@ -300,13 +297,13 @@
         }
     }
 
-    private static int bytes(Wanted what) {
+    private static int bytes(WantedObject what) {
         return what.route() == NOTICES ? 6_000 : 120_000;
     }
 
     // ---- one edge
 
-    private final class Edge implements Fetching.Ways<String> {
+    private final class Edge implements ObjectSources<String> {
         private final String name;
         private final Homes homes;
         private final Fetching<String> fetching;
@@ -338,7 +335,7 @@
         }
 
         void client(Ask ask) {
-            Wanted what = ask.what;
+            WantedObject what = ask.what;
             if (fetching.held(what) != null) {
                 sends(bytes(what), () -> over(ask, true, 0));
                 return;
@@ -357,15 +354,7 @@
         }
 
         @Override
-        public void home(
-                String edge,
-                Wanted what,
-                int hop,
-                long step,
-                long begun,
-                long wait,
-                long giveUp,
-                FromHome<String> ending) {
+        public void home(HomeQuestion question, HomeAnswer<String> ending) {
             boolean[] over = new boolean[1];
             boolean[] comes = new boolean[1];
             Runnable silent = () -> {
@@ -374,20 +363,20 @@
                     ending.silent(false);
                 }
             };
-            after(wait, () -> {
+            after(question.patience(), () -> {
                 if (!comes[0]) {
                     silent.run();
                 }
             });
-            after(giveUp - now, silent);
-            Edge other = byName.get(edge);
+            after(question.giveUp() - now, silent);
+            Edge other = byName.get(question.edge());
             if (other == null) {
                 after(HOP, silent);
                 return;
             }
             after(
                     HOP,
-                    () -> other.fetching.ask(what, hop, now + wait, new Told() {
+                    () -> other.fetching.ask(question.what(), question.hop(), now + question.patience(), new Told() {
                         private void answers(int bytes, Runnable ends) {
                             if (other.ended) {
                                 return;
@@ -406,7 +395,7 @@
                             if (copy == null) {
                                 answers(HEAD_BYTES, () -> ending.refused(retryAfter));
                             } else {
-                                answers(bytes(what), () -> ending.copy(copy));
+                                answers(bytes(question.what()), () -> ending.copy(copy));
                             }
                         }
 
@@ -418,7 +407,7 @@
         }
 
         @Override
-        public boolean servers(String service, Wanted what, long at, long giveUp, FromServers<String> ending) {
+        public boolean servers(String service, WantedObject what, long at, long giveUp, ServerAnswer<String> ending) {
             if (random.nextDouble() < setup.unsent()) {
                 ending.notSent(SECOND / 2);
                 return true;
@@ -464,7 +453,7 @@
     }
 
     /** Told once; a copy, or when to come back. */
-    private abstract static class Told implements Fetching.Waiter<String> {
+    private abstract static class Told implements ObjectWaiter<String> {
         /** @param copy null for none */
         abstract void end(Copy copy, long retryAfter);
 
--- a/src/test/java/gorsemast/proxy/HomeAnswerTest.java
+++ b/src/test/java/gorsemast/proxy/HomeAnswerTest.java
@@ -3,8 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gorsemast.cache.Copy;
-import gorsemast.cache.Fetching;
-import gorsemast.cache.Fetching.FromHome;
+import gorsemast.cache.HomeAnswer;
+import gorsemast.cache.HomeQuestion;
+import gorsemast.cache.WantedObject;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.RawServer;
@@ -39,45 +40,39 @@
     private void ask(HomeAsker asker, String uri) {
         Route route =
                 Configuration.parse(LoopbackNetwork.configuration(1, "20s")).route(LoopbackNetwork.HOST, uri);
-        loop.execute(() -> asker.ask(
-                "edge",
-                new Fetching.Wanted(route, route.host(), uri),
-                1,
-                0,
-                0,
-                10_000_000,
-                10_000_000,
-                new FromHome<>() {
-                    @Override
-                    public void copy(Copy copy) {
-                        told.add("copy " + new String(copy.body(), StandardCharsets.US_ASCII));
-                    }
-
-                    @Override
-                    public void other(FullHttpResponse answer) {
-                        told.add("other " + answer.status().code());
-                    }
-
-                    @Override
-                    public void refused(long retryAfterMicros) {
-                        told.add("refused");
-                    }
-
-                    @Override
-                    public void useless() {
-                        told.add("useless");
-                    }
-
-                    @Override
-                    public void inHand() {
-                        told.add("in hand");
-                    }
-
-                    @Override
-                    public void silent(boolean ours) {
-                        told.add("silent");
-                    }
-                }));
+        WantedObject what = new WantedObject(route, route.host(), uri);
+        HomeQuestion question = new HomeQuestion("edge", what, 1, 0, 0, 10_000_000, 10_000_000);
+        loop.execute(() -> asker.ask(question, new HomeAnswer<>() {
+            @Override
+            public void copy(Copy copy) {
+                told.add("copy " + new String(copy.body(), StandardCharsets.US_ASCII));
+            }
+
+            @Override
+            public void other(FullHttpResponse answer) {
+                told.add("other " + answer.status().code());
+            }
+
+            @Override
+            public void refused(long retryAfterMicros) {
+                told.add("refused");
+            }
+
+            @Override
+            public void useless() {
+                told.add("useless");
+            }
+
+            @Override
+            public void inHand() {
+                told.add("in hand");
+            }
+
+            @Override
+            public void silent(boolean ours) {
+                told.add("silent");
+            }
+        }));
     }
 
     private HomeAsker asker(RawServer home) {
