--- a/src/main/java/anisebend/Adapter.java
+++ b/src/main/java/anisebend/Adapter.java
@@ -157,7 +157,7 @@
             }
             case "head_received" -> {
                 String request = event.require(event.request, "xid");
-                return () -> b.streaming(now, request);
+                return () -> b.responseStarted(now, request);
             }
             case "checked" -> {
                 String node = event.require(event.node, "node");
@@ -181,7 +181,7 @@
     private final class Instance implements Actions {
         final int id;
         final List<String> columns;
-        final Balancer balancer = new Decide(this);
+        final Balancer balancer = new BalancingPolicy(this);
 
         Instance(int id, List<String> columns) {
             this.id = id;
--- a/src/main/java/anisebend/Sleeper.java
+++ b/src/main/java/anisebend/AdaptiveInterval.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** The paper's sleeper: an interval that failures multiply up and counted successes step down. */
-class Sleeper {
+class AdaptiveInterval {
     /** The paper's multipliers and threshold: doubled on failure, halved after a few successes. */
     private static final double UP = 2;
 
@@ -17,7 +17,7 @@
     long currentInterval;
     int currentSuccess;
 
-    Sleeper(SplittableRandom random, long initialInterval, long maxInterval) {
+    AdaptiveInterval(SplittableRandom random, long initialInterval, long maxInterval) {
         this.random = random;
         this.initialInterval = initialInterval;
         this.maxInterval = maxInterval;
--- a/src/main/java/anisebend/Balancer.java
+++ b/src/main/java/anisebend/Balancer.java
@@ -21,7 +21,7 @@
      * open keeps its number of attempts. Throws as {@link #start}, and then nothing has changed. Times that were taken
      * from the first settings stay.
      */
-    void retune(long now, Settings settings);
+    void reconfigure(long now, Settings settings);
 
     /**
      * News of the server list. Entries of {@link ListKind#CHANGES} are laid over the known list; any other
@@ -42,7 +42,7 @@
     default void probed(long now, String server, boolean alive, Report report) {}
 
     /** A streamed answer has begun: the request is served, though its attempt is still out. */
-    default void streaming(long now, String request) {
+    default void responseStarted(long now, String request) {
         abandoned(now, request);
     }
 
@@ -129,24 +129,30 @@
         /** Whether the request may have run. */
         public final boolean mayHaveRun;
         /** Whether the attempt says nothing of its server, as it ended on this side. */
-        public final boolean calledOff;
+        public final boolean endedLocally;
 
         Code(boolean mayHaveRun) {
             this.mayHaveRun = mayHaveRun;
-            this.calledOff = name().equals("CANCELLED") || name().equals("NOT_SENT");
+            this.endedLocally = name().equals("CANCELLED") || name().equals("NOT_SENT");
         }
     }
 
     /** What a miss tells of other fetches: nothing known, none out, or one out for another request. */
-    enum Note {
+    enum CacheStatus {
         NONE,
         HIT,
         MISS,
         MISS_FETCHING
     }
 
-    /** A class of requests: {@code aim} is the wanted, {@code deadline} the longest wait, in microseconds. */
-    record RequestClass(Effect effect, Group group, long window, long aim, long deadline, double worth) {
+    /** A class of requests: {@code targetLatency} is the wanted, {@code deadline} the longest wait, in microseconds. */
+    record RequestClass(
+            Effect effect,
+            Group group,
+            long deduplicationWindow,
+            long targetLatency,
+            long deadline,
+            double importance) {
         // Spelt out: what a record brings by itself is put together at its first use, which costs a starting process 30
         // ms.
         @Override
@@ -154,15 +160,15 @@
             return other instanceof RequestClass o
                     && effect == o.effect
                     && group == o.group
-                    && window == o.window
-                    && aim == o.aim
+                    && deduplicationWindow == o.deduplicationWindow
+                    && targetLatency == o.targetLatency
                     && deadline == o.deadline
-                    && Double.compare(worth, o.worth) == 0;
+                    && Double.compare(importance, o.importance) == 0;
         }
 
         @Override
         public int hashCode() {
-            return Long.hashCode(aim * 31 + deadline);
+            return Long.hashCode(targetLatency * 31 + deadline);
         }
     }
 
@@ -170,7 +176,7 @@
     record Tenant(double share, double quotaPerSecond) {}
 
     /** Load as a server last reported it; a value that is not reported is NaN. */
-    record Report(double held, double utilization, double serviceMicros) {}
+    record Report(double outstanding, double utilization, double serviceMicros) {}
 
     /**
      * All that is set at start. {@code originKind} is the kind of the list entry that is the origin when
@@ -185,7 +191,7 @@
             int originKind,
             List<RequestClass> classes,
             List<Tenant> tenants,
-            double overShareWorth,
+            double overShareFactor,
             int maxAttempts,
             boolean mayCancel,
             boolean mayProbe,
@@ -210,7 +216,7 @@
             check(resendSpan > 0 || resendSpan == 0 && freeResends + resendShare == 0, "resendSpan");
             check(listAskWithin > 0 || !listMustBeAsked, "listAskWithin");
             for (RequestClass type : classes) {
-                check(type.deadline() >= shortestDeadline && type.aim() > 0, "deadline and aim of a class");
+                check(type.deadline() >= shortestDeadline && type.targetLatency() > 0, "deadline and aim of a class");
             }
         }
 
@@ -224,15 +230,15 @@
     /** One entry of the server list; {@code startedAt} is 0 for long ago. */
     record Server(String id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
 
-    /** One request; {@code key} may be null. The client stops waiting at {@code giveUp}. */
-    record Request(String id, int requestClass, int tenant, String key, long giveUp, boolean write) {}
+    /** One request; {@code key} may be null. The client stops waiting at {@code expiresAt}. */
+    record Request(String id, int requestClass, int tenant, String key, long expiresAt, boolean write) {}
 
     /**
      * Why a request got no answer from a server: its time was up, no server could be had, its attempts or its
      * right to repeat were spent, its tenant was over its share at a pressed server, the server's lanes could
      * not let it out in time, or there was no budget for another retry.
      */
-    enum Why {
+    enum UnservedReason {
         TIME_UP,
         NO_SERVER,
         SPENT,
@@ -251,12 +257,19 @@
             long meanInterval,
             int queued,
             int inFlight,
-            int classesLeftOut,
+            int excludedClasses,
             double slowness) {}
 
-    /** All servers, last the ledger's lanes where servers fetch for themselves, and what is held; {@code concluded} counts final answers since the start, by {@link Why}. */
-    record View(List<ServerView> servers, int homeless, int open, double retriesLeft, long[] concluded) {}
-
-    /** End of an attempt; {@code over}: the request needs no answer any more. {@code report} may be null. */
-    record Outcome(String request, int attempt, Code code, long elapsed, boolean over, Note note, Report report) {}
+    /** All servers, last the ledger's lanes where servers fetch for themselves, and what is held; {@code unservedByReason} counts final answers since the start, by {@link UnservedReason}. */
+    record View(List<ServerView> servers, int unassigned, int open, double retriesLeft, long[] unservedByReason) {}
+
+    /** End of an attempt; {@code requestFinished}: the request needs no answer any more. {@code report} may be null. */
+    record Outcome(
+            String request,
+            int attempt,
+            Code code,
+            long elapsed,
+            boolean requestFinished,
+            CacheStatus cacheStatus,
+            Report report) {}
 }
--- a/src/main/java/anisebend/Decide.java
+++ b/src/main/java/anisebend/BalancingPolicy.java
@@ -3,7 +3,7 @@
 import anisebend.Measures.Estimate;
 import anisebend.Measures.Rate;
 import anisebend.Measures.Window;
-import gorsemast.admission.ComeBack;
+import gorsemast.admission.RetryDelay;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Comparator;
@@ -19,10 +19,10 @@
 /**
  * The policy. Events, actions and records: {@code Balancer}; what each defence covers: docs/design/module.md.
  * The key table (or, after a miss, the origin) gives a request its server; it waits in that server's queue
- * for the earliest free lane, and is sent; each lane's {@link Sleeper} grows on failure and shrinks after
+ * for the earliest free lane, and is sent; each lane's {@link AdaptiveInterval} grows on failure and shrinks after
  * counted successes. All times are the caller's, in microseconds.
  */
-public final class Decide implements Balancer {
+public final class BalancingPolicy implements Balancer {
     private static final int LANES = 2;
     /** A key moves when its server holds HIGH times the mean and another less than it; floors in requests. */
     private static final double HIGH = 3;
@@ -103,7 +103,7 @@
         }
     };
     private final Alarms alarms = new Alarms();
-    private Sleeper listSleeper;
+    private AdaptiveInterval listSleeper;
     private Rate arrivals;
     /** Answers of warm servers, and the weights of these and of all at the last look at the whole fleet. */
     private Rate carried;
@@ -116,18 +116,18 @@
     /** How long after its fetch a copy is taken for kept; learned from forecasts that failed. */
     private double keeps;
 
-    private Shares shares;
+    private TenantShares shares;
     private final List<Estimate> cacheTimes = new ArrayList<>();
     private Estimate originTime;
     private double retries = RETRY_BURST;
     private double trials;
-    private final ComeBack comeBack = new ComeBack();
+    private final RetryDelay comeBack = new RetryDelay();
     private final Window taken = new Window();
     private final Window resent = new Window();
-    private final long[] given = new long[Why.values().length];
+    private final long[] given = new long[UnservedReason.values().length];
 
     /** A balancer that issues its actions to {@code actions}. */
-    public Decide(Actions actions) {
+    public BalancingPolicy(Actions actions) {
         this.actions = actions;
     }
 
@@ -137,7 +137,8 @@
         final long hash;
         final List<Lane> lanes = new ArrayList<>();
         final Rate rate = new Rate(Math.max(settings.coldTime() / 4.0, shortestDeadline));
-        final Sleeper trials = new Sleeper(random, shortestDeadline / Lane.MAX_PART, shortestDeadline);
+        final AdaptiveInterval trials =
+                new AdaptiveInterval(random, shortestDeadline / Lane.MAX_PART, shortestDeadline);
         final TreeSet<Held> queue = new TreeSet<>(Held.LEAVING);
         final LinkedHashSet<Held> inFlight = new LinkedHashSet<>();
         final List<Faults> faults = new ArrayList<>();
@@ -287,7 +288,7 @@
 
     /** What a server does to one class, while it answers others. */
     private final class Faults {
-        final Sleeper trials;
+        final AdaptiveInterval trials;
         double sum;
         boolean out;
         long trialAt;
@@ -295,7 +296,7 @@
         /** A trial of what may not be repeated is lost if it fails, so there are few. */
         Faults(Effect effect) {
             long first = Math.max(shortestDeadline, effect == Effect.SAFE ? 0 : settings.coldTime() / 2);
-            trials = new Sleeper(random, first, 4 * first);
+            trials = new AdaptiveInterval(random, first, 4 * first);
         }
 
         boolean failing() {
@@ -395,7 +396,7 @@
         }
 
         long until() {
-            return attempts == 0 ? useful : request.giveUp();
+            return attempts == 0 ? useful : request.expiresAt();
         }
     }
 
@@ -406,18 +407,18 @@
         settings = given;
         List<RequestClass> all = given.classes();
         shortestDeadline = all.stream().mapToLong(RequestClass::deadline).min().getAsLong();
-        shortestAim = all.stream().mapToLong(RequestClass::aim).min().getAsLong();
+        shortestAim = all.stream().mapToLong(RequestClass::targetLatency).min().getAsLong();
         while (cacheTimes.size() < all.size()) {
-            cacheTimes.add(new Estimate(all.get(cacheTimes.size()).aim() / 4.0));
+            cacheTimes.add(new Estimate(all.get(cacheTimes.size()).targetLatency() / 4.0));
         }
     }
 
     @Override
-    public void retune(long time, Settings given) {
+    public void reconfigure(long time, Settings given) {
         now = time;
         boolean others = !given.tenants().equals(settings.tenants());
         take(given);
-        shares = others ? new Shares(given.tenants(), given.balancers(), shares.span, arrivals) : shares;
+        shares = others ? new TenantShares(given.tenants(), given.balancers(), shares.span, arrivals) : shares;
         shares.balancers = given.balancers();
     }
 
@@ -431,14 +432,14 @@
         double span = Math.max(given.coldTime() / 4.0, shortestDeadline);
         arrivals = new Rate(span);
         carried = new Rate(span);
-        shares = new Shares(given.tenants(), given.balancers(), span, arrivals);
+        shares = new TenantShares(given.tenants(), given.balancers(), span, arrivals);
         if (given.originKind() < 0) {
             ledger = new Target(new Server("ledger", 0, 0, 0, State.READY, 1, 0));
             keeps = FORGOTTEN * given.coldTime();
         }
         if (given.listMustBeAsked()) {
             long within = given.listAskWithin();
-            listSleeper = new Sleeper(random, within / Lane.INITIAL_PART, within / Lane.MAX_PART);
+            listSleeper = new AdaptiveInterval(random, within / Lane.INITIAL_PART, within / Lane.MAX_PART);
             actions.subscribe();
         }
         alarms.arm(actions);
@@ -516,8 +517,8 @@
         }
         RequestClass type = settings.classes().get(request.requestClass());
         boolean over = shares.over(now, request.tenant());
-        double worth = type.worth() * (over ? settings.overShareWorth() : 1);
-        long useful = Math.min(request.giveUp(), (long) (now + LATE * type.aim()));
+        double worth = type.importance() * (over ? settings.overShareFactor() : 1);
+        long useful = Math.min(request.expiresAt(), (long) (now + LATE * type.targetLatency()));
         Held held = new Held(request, type, sequence++, worth, over, useful);
         held.most = settings.maxAttempts();
         open.put(request.id(), held);
@@ -525,9 +526,9 @@
         if (settings.resendSpan() > 0) {
             taken.add(now);
         }
-        alarms.set(request.giveUp(), () -> conclude(held, Why.TIME_UP));
+        alarms.set(request.expiresAt(), () -> conclude(held, UnservedReason.TIME_UP));
         alarms.set(held.useful - typical(held, null), () -> unsent(held));
-        alarms.set(request.giveUp() - typical(held, null), () -> unsent(held));
+        alarms.set(request.expiresAt() - typical(held, null), () -> unsent(held));
         route(held);
         alarms.arm(actions);
     }
@@ -545,12 +546,12 @@
         held.lane.out--;
         held.lane.restSince = now;
         feedback(held, target, o);
-        letGo(held, o.note() == Note.HIT, o.code() != Code.CANCELLED && o.code() != Code.TIMEOUT);
+        letGo(held, o.cacheStatus() == CacheStatus.HIT, o.code() != Code.CANCELLED && o.code() != Code.TIMEOUT);
         if (o.code().mayHaveRun && held.ranAt == null) {
             held.ranAt = target.entry;
             held.ranSince = held.sentAt;
         }
-        held.answered |= o.over();
+        held.answered |= o.requestFinished();
         if (held.answered) {
             finish(held);
         } else {
@@ -594,8 +595,8 @@
             return;
         }
         String key = held.request.key();
-        if (held.attempts >= held.most || now >= held.request.giveUp() || !mayRepeat(held)) {
-            conclude(held, Why.SPENT);
+        if (held.attempts >= held.most || now >= held.request.expiresAt() || !mayRepeat(held)) {
+            conclude(held, UnservedReason.SPENT);
             return;
         }
         boolean aside = settings.originKind() >= 0;
@@ -612,7 +613,7 @@
             return;
         }
         if (held.over && target.pressed()) {
-            conclude(held, Why.OVER_SHARE);
+            conclude(held, UnservedReason.OVER_SHARE);
             return;
         }
         if (ledger != null && held.fetch == null && fetched(held, target)) {
@@ -622,7 +623,7 @@
             if (ledger.queue.isEmpty() && ledger.room() && ledger.earliest().readyAt() <= now) {
                 hold(held, ledger.earliest());
             } else if (held.over) {
-                conclude(held, Why.OVER_SHARE);
+                conclude(held, UnservedReason.OVER_SHARE);
                 return;
             } else {
                 target = ledger;
@@ -633,13 +634,13 @@
         boolean free = target.room() && target.earliest().readyAt() <= now;
         int ahead = free ? 0 : target.queue.headSet(held).size();
         if (tooLate(held, target, ahead)) {
-            conclude(held, Why.NO_ROOM);
+            conclude(held, UnservedReason.NO_ROOM);
             return;
         }
         pump(target);
         // The newest leave first, so one more may be one too many for those behind: they are told at once.
         while (!target.queue.isEmpty() && tooLate(target.queue.last(), target, target.queue.size() - 1)) {
-            conclude(target.queue.last(), Why.NO_ROOM);
+            conclude(target.queue.last(), UnservedReason.NO_ROOM);
         }
     }
 
@@ -652,7 +653,7 @@
     private void unsent(Held held) {
         long last = held.until() - typical(held, null);
         if (!held.answered && held.out == null && now >= last) {
-            conclude(held, homeless.contains(held) ? Why.NO_SERVER : Why.TIME_UP);
+            conclude(held, homeless.contains(held) ? UnservedReason.NO_SERVER : UnservedReason.TIME_UP);
         } else if (!held.answered && held.out == null) {
             alarms.set(last, () -> unsent(held));
         }
@@ -698,7 +699,7 @@
     private long typical(Held held, Target target) {
         boolean fetch = target != null && (target == origin || target == ledger || held.fetch != null);
         Estimate usual = fetch ? originTime : cacheTimes.get(held.request.requestClass());
-        return (long) Math.min(usual.mean + usual.deviation, EXPECTED * LATE * held.type.aim());
+        return (long) Math.min(usual.mean + usual.deviation, EXPECTED * LATE * held.type.targetLatency());
     }
 
     private void pump(Target target) {
@@ -716,7 +717,7 @@
             Held held = target.queue.pollFirst();
             held.queuedAt = null;
             if (now + typical(held, target) > held.until() || !mayRepeat(held) || !mayResend(held)) {
-                conclude(held, Why.NO_ROOM);
+                conclude(held, UnservedReason.NO_ROOM);
             } else if (target != ledger) {
                 send(held, target, lane);
             } else if (!follows(held)) {
@@ -742,13 +743,13 @@
             home.kept = null;
         }
         target.inFlight.add(held);
-        long until = held.request.giveUp();
+        long until = held.request.expiresAt();
         if (target != origin) {
             target.faults(held.request.requestClass()).rest();
             target.credit -= 1;
             Estimate usual = cacheTimes.get(held.request.requestClass());
             // The first guess knows nothing of the way and of new connections.
-            long guess = usual.samples < ENOUGH ? held.type.aim() : 0;
+            long guess = usual.samples < ENOUGH ? held.type.targetLatency() : 0;
             long patience = (long) Math.max(usual.mean + PATIENCE * usual.deviation, guess);
             if (target.suspect && held.type.effect() == Effect.SAFE) {
                 until = Math.min(until, now + patience);
@@ -768,26 +769,26 @@
     /** Lane growth, health and estimates from one outcome. */
     private void feedback(Held held, Target target, Outcome o) {
         Code code = o.code();
-        boolean fetch = o.note() == Note.MISS || o.note() == Note.MISS_FETCHING;
+        boolean fetch = o.cacheStatus() == CacheStatus.MISS || o.cacheStatus() == CacheStatus.MISS_FETCHING;
         // Late answers are failures: a long waiting room never says "full". Fetches tell of the ledger.
         boolean failed = code == Code.FULL || code == Code.CONNECT_FAILED;
         failed |= code == Code.ERROR && target == origin;
         failed |= code == Code.TIMEOUT && (held.fetch == null || target.lastAnswer < held.sentAt);
-        failed |= code == Code.OK && !fetch && target.late(o.elapsed(), held.type.aim());
+        failed |= code == Code.OK && !fetch && target.late(o.elapsed(), held.type.targetLatency());
         if (failed) {
             held.lane.goUp();
-        } else if (!code.calledOff && code != Code.TIMEOUT && code != Code.RESET && code != Code.ERROR) {
+        } else if (!code.endedLocally && code != Code.TIMEOUT && code != Code.RESET && code != Code.ERROR) {
             held.lane.success();
         }
-        tells |= o.note() != Note.NONE;
+        tells |= o.cacheStatus() != CacheStatus.NONE;
         if (ledger != null && (held.fetch != null || fetch)) {
             Lane lane = held.fetch != null ? held.fetch : ledger.earliest();
             // Who left waited too long too. Where few fail a class, an error after good answers is theirs.
             int type = held.request.requestClass();
             if (code == Code.ERROR && (target.faults(type).sum < BROKEN || alike(type))
                     || code == Code.TIMEOUT
-                    || code == Code.CANCELLED && o.elapsed() > held.type.aim()
-                    || fetch && o.elapsed() > FETCH_LATE * held.type.aim()) {
+                    || code == Code.CANCELLED && o.elapsed() > held.type.targetLatency()
+                    || fetch && o.elapsed() > FETCH_LATE * held.type.targetLatency()) {
                 lane.goUp();
             } else if (code == Code.OK) { // a hit too: what fails is counted over both
                 lane.success();
@@ -802,7 +803,7 @@
         }
         if (code == Code.OK || code == Code.FULL || code == Code.ERROR || code == Code.MISS) {
             heard(target);
-        } else if (!o.code().calledOff) {
+        } else if (!o.code().endedLocally) {
             int weight = code == Code.RESET ? BROKEN : SILENT;
             doubt(target, held.sentAt, code == Code.CONNECT_FAILED ? REFUSED : weight);
         }
@@ -821,7 +822,7 @@
         if (code == Code.OK) {
             (target == origin ? originTime : cacheTimes.get(held.request.requestClass())).add(o.elapsed());
             retries = Math.min(RETRY_BURST, retries + RETRY_SHARE);
-            comeBack.served();
+            comeBack.recordServed();
             Home home = target == origin || held.request.key() == null ? null : table.get(held.request.key());
             if (home != null && !held.request.write() && tells) {
                 if (fetch && held.fetch == null) {
@@ -837,7 +838,7 @@
             if (home != null) {
                 home.servedOne(now, targets.size() / arrivals.at(now));
             }
-            target.slowness = Measures.smooth(target.slowness, (double) o.elapsed() / held.type.aim());
+            target.slowness = Measures.smooth(target.slowness, (double) o.elapsed() / held.type.targetLatency());
         }
     }
 
@@ -845,7 +846,7 @@
     private void react(Held held, Target target, Outcome o) {
         // A first break leaves the key its home: elsewhere it would be a miss.
         boolean broke = o.code() == Code.RESET && held.attempts == 1;
-        if (o.code() != Code.MISS && !o.code().calledOff && o.code() != Code.ERROR && !broke) {
+        if (o.code() != Code.MISS && !o.code().endedLocally && o.code() != Code.ERROR && !broke) {
             held.failedAt.add(target);
         }
         long wait = held.lane.currentInterval;
@@ -857,18 +858,18 @@
         if (target == origin && !held.request.write() && o.code() != Code.FULL) {
             release(held);
         }
-        boolean late = now + wait + typical(held, target) > held.request.giveUp();
-        if (!o.code().calledOff && retries < 1 || late || !mayRepeat(held) || !mayResend(held)) {
-            conclude(held, retries < 1 ? Why.NO_BUDGET : Why.SPENT);
+        boolean late = now + wait + typical(held, target) > held.request.expiresAt();
+        if (!o.code().endedLocally && retries < 1 || late || !mayRepeat(held) || !mayResend(held)) {
+            conclude(held, retries < 1 ? UnservedReason.NO_BUDGET : UnservedReason.SPENT);
         } else {
-            retries -= o.code().calledOff ? 0 : 1;
+            retries -= o.code().endedLocally ? 0 : 1;
             alarms.set(now + wait, () -> route(held));
         }
     }
 
     /** Rule: what may have run is sent again only within what its class allows. */
     private boolean mayRepeat(Held held) {
-        boolean within = held.type.effect() == Effect.KEYED && now < held.ranSince + held.type.window();
+        boolean within = held.type.effect() == Effect.KEYED && now < held.ranSince + held.type.deduplicationWindow();
         return held.ranAt == null || held.type.effect() == Effect.SAFE || within;
     }
 
@@ -888,7 +889,7 @@
     }
 
     /** The final answer to a request that was not served: a refusal where that is true, else a failure. */
-    private void conclude(Held held, Why why) {
+    private void conclude(Held held, UnservedReason why) {
         if (held.answered) {
             return;
         }
@@ -905,7 +906,7 @@
             Target at = held.queuedAt;
             long wait = at == null ? 0 : Math.max(0, at.leaves(at.queue.size()) - now);
             long longest = settings.retryAfter() ? settings.maxRetryAfter() : 0;
-            actions.refuse(held.request.id(), Math.min(comeBack.refused(wait, random.nextDouble()), longest));
+            actions.refuse(held.request.id(), Math.min(comeBack.recordRefused(wait, random.nextDouble()), longest));
         } else {
             actions.fail(held.request.id());
         }
--- a/src/main/java/anisebend/Lane.java
+++ b/src/main/java/anisebend/Lane.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** One of a target's paced ways out. While paced it carries one request, as the paper's workers do. */
-final class Lane extends Sleeper {
+final class Lane extends AdaptiveInterval {
     /** Both bounds of an interval, as parts of the shortest deadline. */
     static final int INITIAL_PART = 50;
 
--- a/src/main/java/anisebend/Shares.java
+++ b/src/main/java/anisebend/TenantShares.java
@@ -8,7 +8,7 @@
  * and than their part of what it gets, as balancers get uneven parts and a plain division of the quota would
  * blame a busy one's tenants. Times in microseconds; O(tenants) memory, O(1) a request; one thread.
  */
-final class Shares {
+final class TenantShares {
     /** How far a tenant's part of the traffic here must exceed its fraction before it is over its share. */
     private static final double OVER = 1.25;
 
@@ -27,7 +27,7 @@
     final double span;
 
     /** The tenants of a tier of so many balancers; {@code arrivals} is the rate of all requests here. */
-    Shares(List<Balancer.Tenant> tenants, int balancers, double span, Rate arrivals) {
+    TenantShares(List<Balancer.Tenant> tenants, int balancers, double span, Rate arrivals) {
         this.tenants = tenants;
         this.balancers = balancers;
         this.arrivals = arrivals;
--- a/src/main/java/anisebend/WireEvent.java
+++ b/src/main/java/anisebend/WireEvent.java
@@ -151,9 +151,11 @@
     }
 
     Balancer.Outcome outcome(List<String> names) throws WireException {
-        Balancer.Note told = note == 1
-                ? Balancer.Note.HIT
-                : note == 2 ? Balancer.Note.MISS : note == 3 ? Balancer.Note.MISS_FETCHING : Balancer.Note.NONE;
+        Balancer.CacheStatus told = note == 1
+                ? Balancer.CacheStatus.HIT
+                : note == 2
+                        ? Balancer.CacheStatus.MISS
+                        : note == 3 ? Balancer.CacheStatus.MISS_FETCHING : Balancer.CacheStatus.NONE;
         return new Balancer.Outcome(
                 require(request, "xid"),
                 (int) require(attempt, "leg"),
--- a/src/main/java/anisebend/net/ClientConnection.java
+++ b/src/main/java/anisebend/net/ClientConnection.java
@@ -1,7 +1,7 @@
 package anisebend.net;
 
 import gorsemast.http.BodyBuffer;
-import gorsemast.http.Passage;
+import gorsemast.http.ResponseSink;
 import gorsemast.http.StrictHttp;
 import gorsemast.retention.BodyBudget;
 import gorsemast.transport.Transport;
@@ -34,7 +34,7 @@
  * completes it is done and nothing came behind it: a client waits for its answer before it asks again, so whoever
  * sends on regardless is turned away and nothing of it reaches the module.
  */
-final class ClientConnection extends ChannelInboundHandlerAdapter implements Engine.Client, Passage {
+final class ClientConnection extends ChannelInboundHandlerAdapter implements Engine.Client, ResponseSink {
     /** A bad client is owed an error or a close within 3 s; a good one sends its request in far less. */
     private static final long WHOLE_MICROS = 2_000_000;
     /** A body may take so much longer as this many bytes a second would. */
@@ -136,7 +136,7 @@
 
     private Engine.Exchange exchange;
     /** The source of an answer that is being passed on. */
-    private Passage.Flow passing;
+    private ResponseSink.FlowControl passing;
     /** How many bytes of that are still to come; negative where it is not known. */
     private long rest;
     /** An answer was long: its client may stand still within it, also when the last of it has been written here. */
@@ -165,8 +165,10 @@
             }
             room = known
                     ? bytes
-                    : Math.min(Math.min(RequestHead.MAX_BODY, owner.bodies().most()), bytes + GROWTH);
-            waits = known ? !owner.bodies().begin(this, room) : !owner.bodies().grow(this, room);
+                    : Math.min(Math.min(RequestHead.MAX_BODY, owner.bodies().capacity()), bytes + GROWTH);
+            waits = known
+                    ? !owner.bodies().reserve(this, room)
+                    : !owner.bodies().growTo(this, room);
             if (waits) {
                 owner.counted("body waits");
                 channel.config().setAutoRead(false);
@@ -230,7 +232,7 @@
         dropRequest();
         state = State.CLOSING;
         if (passing != null) {
-            Passage.Flow source = passing;
+            ResponseSink.FlowControl source = passing;
             passing = null;
             source.cancel();
         }
@@ -299,7 +301,7 @@
         } else if (head.id != null && !head.framed) {
             body = new Body(HttpUtil.is100ContinueExpected(start));
             bodySince = owner.engine().now();
-            if (head.length > Math.max(owner.bodies().most(), RequestHead.SHORT_BODY)) {
+            if (head.length > Math.max(owner.bodies().capacity(), RequestHead.SHORT_BODY)) {
                 turnAway(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false);
                 return;
             }
@@ -333,7 +335,7 @@
     }
 
     private long longest() {
-        return Math.min(RequestHead.MAX_BODY, Math.max(owner.bodies().most(), RequestHead.SHORT_BODY));
+        return Math.min(RequestHead.MAX_BODY, Math.max(owner.bodies().capacity(), RequestHead.SHORT_BODY));
     }
 
     /** What a client may take for as much of its body as has come. */
@@ -413,7 +415,7 @@
 
     private static void drop(Body came) {
         if (came != null) {
-            came.kept.drop();
+            came.kept.release();
             came.done();
         }
     }
@@ -456,7 +458,7 @@
 
     /** Passes an answer on. Where its length is not known, HTTP/1.0 knows its end by the connection's alone. */
     @Override
-    public Passage begins(HttpResponse answer, long length, Passage.Flow flow) {
+    public ResponseSink begins(HttpResponse answer, long length, ResponseSink.FlowControl flow) {
         exchange = null;
         passing = flow;
         rest = length;
@@ -496,13 +498,13 @@
     }
 
     @Override
-    public void ended() {
+    public void completed() {
         passing = null;
         end(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
     @Override
-    public void broken() {
+    public void aborted() {
         passing = null;
         enter(State.CLOSING);
         channel.close(); // the length or the last chunk is missing, and so the client can tell
--- a/src/main/java/anisebend/net/Engine.java
+++ b/src/main/java/anisebend/net/Engine.java
@@ -1,14 +1,14 @@
 package anisebend.net;
 
 import anisebend.Balancer;
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
-import anisebend.Decide;
+import anisebend.BalancingPolicy;
 import gorsemast.admission.Lateness;
-import gorsemast.http.Passage;
+import gorsemast.http.ResponseSink;
+import gorsemast.http.RunToCompletionQueue;
 import gorsemast.http.Traffic;
-import gorsemast.http.Turns;
 import gorsemast.http.Upstream;
 import gorsemast.observe.Counters;
 import io.netty.buffer.ByteBuf;
@@ -57,7 +57,7 @@
         void served(FullHttpResponse answer);
 
         /** Instead: an answer that is passed on as it comes; the caller is told of each part. */
-        Passage begins(HttpResponse head, long length, Passage.Flow flow);
+        ResponseSink begins(HttpResponse head, long length, ResponseSink.FlowControl flow);
 
         void refused(long retryAfterMicros);
 
@@ -113,14 +113,14 @@
 
     private boolean begun;
     private final Consumer<String> operator;
-    private final Balancer module = new Decide(this);
+    private final Balancer module = new BalancingPolicy(this);
     private final Upstream upstream;
     private final Discovery discovery;
     private final Map<String, Exchange> open = new HashMap<>();
     /** Ids of the unanswered requests, as their clients know them. */
     private final Set<String> ids = new HashSet<>();
 
-    private final Turns turns = new Turns(this::fault);
+    private final RunToCompletionQueue turns = new RunToCompletionQueue(this::fault);
     /** The module's clock: Unix time in microseconds at the start, and monotonic from there. */
     private final long startMicros = System.currentTimeMillis() * 1000;
 
@@ -164,7 +164,7 @@
                 });
         this.upstream = new Upstream(
                 loop,
-                Upstream.IN_SERVICE,
+                Upstream.CACHE_NODE_DIALECT,
                 node -> discovery.ready((Discovery.Node) node),
                 maxConnections,
                 config.connIdleMillis(),
@@ -201,7 +201,7 @@
     /** Takes over what a new configuration may change in service; throws, and changes nothing, what can't be worked with. */
     void reconfigure(ProxyConfig config) {
         Balancer.Settings next = shared(config.settings());
-        attempt(() -> module.retune(now(), next));
+        attempt(() -> module.reconfigure(now(), next));
         settings = config.settings();
         classes = settings.classes();
         discovery.redirect(config.discovery());
@@ -213,7 +213,7 @@
             sharedBy = proxies;
             if (begun) {
                 Balancer.Settings next = shared(settings);
-                attempt(() -> module.retune(now(), next));
+                attempt(() -> module.reconfigure(now(), next));
             }
         }
     }
@@ -227,7 +227,7 @@
                         s.originKind(),
                         s.classes(),
                         s.tenants(),
-                        s.overShareWorth(),
+                        s.overShareFactor(),
                         s.maxAttempts(),
                         s.mayCancel(),
                         s.mayProbe(),
@@ -263,7 +263,7 @@
     void watchLateness(LongConsumer each) {
         lateness = new Lateness(now(), TICK_MICROS);
         loop.scheduleWithFixedDelay(
-                () -> each.accept(lateness.ran(now())), TICK_MICROS, TICK_MICROS, TimeUnit.MICROSECONDS);
+                () -> each.accept(lateness.tick(now())), TICK_MICROS, TICK_MICROS, TimeUnit.MICROSECONDS);
     }
 
     /** What the module believes. Not to be asked while an event is being worked on. */
@@ -401,14 +401,14 @@
             x.out.cancel(); // never two at once, whatever the module says
         }
         if (x.answered || node == null || wait <= 0) {
-            ended(x, attempt, sentAt, Code.NOT_SENT, Note.NONE, null);
+            ended(x, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE, null);
             return;
         }
         Upstream.Attempt[] mine = new Upstream.Attempt[1];
         boolean[] over = new boolean[1];
-        mine[0] = upstream.send(node, message(x.call, node, wait), wait, once(x.call), new Upstream.Ending() {
+        mine[0] = upstream.send(node, message(x.call, node, wait), wait, once(x.call), new Upstream.AttemptListener() {
             @Override
-            public void ended(Code code, Note note, FullHttpResponse answer) {
+            public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                 over[0] = true;
                 if (x.out == mine[0]) {
                     x.out = null;
@@ -417,7 +417,8 @@
             }
 
             @Override
-            public Passage begins(Note note, HttpResponse head, long length, Passage.Flow flow) {
+            public ResponseSink streaming(
+                    CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
                 over[0] = true;
                 x.out = null;
                 return Engine.this.begins(x, attempt, sentAt, note, new Passing(x, head, length, flow));
@@ -455,8 +456,8 @@
      * An answer that is passed on is the request's single final answer from its first bytes on, and nothing is sent
      * again for it; so the module is told then. Its id stays taken until the last byte.
      */
-    private Passage begins(Exchange x, int attempt, long sentAt, Note note, Passing passing) {
-        Passage taker = null;
+    private ResponseSink begins(Exchange x, int attempt, long sentAt, CacheStatus note, Passing passing) {
+        ResponseSink taker = null;
         if (!x.answered) {
             conclude(x);
             counts[1]++;
@@ -467,21 +468,21 @@
     }
 
     /** An answer on its way from a node's connection to a client's. */
-    private final class Passing implements Passage, Passage.Flow {
+    private final class Passing implements ResponseSink, ResponseSink.FlowControl {
         private final Exchange x;
         private final HttpResponse head;
         private final long length;
-        private final Passage.Flow flow;
-        private Passage client;
+        private final ResponseSink.FlowControl flow;
+        private ResponseSink client;
 
-        Passing(Exchange x, HttpResponse head, long length, Passage.Flow flow) {
+        Passing(Exchange x, HttpResponse head, long length, ResponseSink.FlowControl flow) {
             this.x = x;
             this.head = head;
             this.length = length;
             this.flow = flow;
         }
 
-        Passage begin() {
+        ResponseSink begin() {
             client = x.client.begins(head, length, this);
             return this;
         }
@@ -492,15 +493,15 @@
         }
 
         @Override
-        public void ended() {
+        public void completed() {
             ids.remove(x.call.correlationId());
-            client.ended();
+            client.completed();
         }
 
         @Override
-        public void broken() {
+        public void aborted() {
             ids.remove(x.call.correlationId());
-            client.broken();
+            client.aborted();
         }
 
         @Override
@@ -515,7 +516,7 @@
         }
     }
 
-    private void ended(Exchange x, int attempt, long sentAt, Code code, Note note, FullHttpResponse answer) {
+    private void ended(Exchange x, int attempt, long sentAt, Code code, CacheStatus note, FullHttpResponse answer) {
         if (code == Code.OK && !x.answered) {
             settle(x);
             counts[1]++;
@@ -524,13 +525,13 @@
         told(x, attempt, sentAt, code, note);
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code, Note note) {
+    private void told(Exchange x, int attempt, long sentAt, Code code, CacheStatus note) {
         boolean over = x.answered;
         turns.event(() -> {
             long now = now();
             long elapsed = now - sentAt;
             // What this process was late with itself must not be held against the node.
-            elapsed -= lateness == null ? 0 : Math.min(elapsed / 2, lateness.at(now));
+            elapsed -= lateness == null ? 0 : Math.min(elapsed / 2, lateness.estimate(now));
             module.outcome(now, new Balancer.Outcome(x.id, attempt, code, elapsed, over, note, null));
             turns.action(() -> forget(x));
         });
--- a/src/main/java/anisebend/net/ProxyConfig.java
+++ b/src/main/java/anisebend/net/ProxyConfig.java
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
-import gorsemast.retune.ClassBook;
-import gorsemast.retune.Shape;
+import gorsemast.retune.ClassNumbering;
+import gorsemast.retune.ConfigurationShape;
 import gorsemast.transport.Address;
 import java.io.IOException;
 import java.io.InputStream;
@@ -40,7 +40,7 @@
         int sockets,
         Map<String, Object> known,
         Balancer.Settings settings,
-        ClassBook classes,
+        ClassNumbering classes,
         Names names,
         long connIdleMillis,
         long connectTimeoutMillis,
@@ -64,14 +64,14 @@
      * it lacks a key that the other has, or changes what can't change without a restart.
      */
     ProxyConfig after(ProxyConfig present) throws IOException {
-        Shape.check(present.text, text, Set.of("known"));
+        ConfigurationShape.check(present.text, text, Set.of("known"));
         if (!names.zones().equals(present.names.zones())
                 || !names.kinds().equals(present.names.kinds())
                 || settings.originKind() != present.settings.originKind()) {
             throw new IOException("failure_domains, shapes and the origin can't change without a restart");
         }
         Balancer.Settings s = settings;
-        ClassBook book;
+        ClassNumbering book;
         try {
             book = present.classes.with(List.copyOf(classes.names()), s.classes());
         } catch (IllegalArgumentException e) {
@@ -91,7 +91,7 @@
                         s.originKind(),
                         book.rules(),
                         s.tenants(),
-                        s.overShareWorth(),
+                        s.overShareFactor(),
                         s.maxAttempts(),
                         s.mayCancel(),
                         s.mayProbe(),
@@ -147,7 +147,7 @@
                 (int) positive(limits, "sockets"),
                 map(root, "known"),
                 read,
-                ClassBook.of(names(settings, "lanes"), read.classes()),
+                ClassNumbering.of(names(settings, "lanes"), read.classes()),
                 names,
                 positive(allowed, "conn_idle_ms"),
                 positive(allowed, "connect_timeout_ms"),
--- a/src/main/java/anisebend/net/ProxyServer.java
+++ b/src/main/java/anisebend/net/ProxyServer.java
@@ -2,8 +2,8 @@
 
 import anisebend.Balancer;
 import gorsemast.admin.AdminListener;
-import gorsemast.admission.Door;
-import gorsemast.admission.Shedder;
+import gorsemast.admission.ConnectionAdmission;
+import gorsemast.admission.LoadShedder;
 import gorsemast.http.NettyLog;
 import gorsemast.http.Signals;
 import gorsemast.http.StrictHttp;
@@ -11,7 +11,7 @@
 import gorsemast.lifecycle.Lifecycle.Phase;
 import gorsemast.observe.Counters;
 import gorsemast.retention.BodyBudget;
-import gorsemast.retention.Parting;
+import gorsemast.retention.SendBufferHandoff;
 import gorsemast.transport.Transport;
 import gorsemast.upgrade.Generations;
 import gorsemast.upgrade.Succession;
@@ -88,13 +88,13 @@
     private final Consumer<String> operator;
     private final Engine engine;
     private final Map<String, String> env;
-    private final Door<ClientConnection> door;
+    private final ConnectionAdmission<ClientConnection> door;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private BodyBudget<ClientConnection.Body> bodies =
             new BodyBudget<>((long) (Runtime.getRuntime().maxMemory() * BODY_PART));
-    private final Parting<ClientConnection> parting = new Parting<>(PARTING_MOST, PARTING_EACH);
+    private final SendBufferHandoff<ClientConnection> parting = new SendBufferHandoff<>(PARTING_MOST, PARTING_EACH);
     private final Map<String, Long> events = new TreeMap<>();
-    private final Shedder shedder;
+    private final LoadShedder shedder;
     private final SplittableRandom random;
     private long worstLate;
     private boolean tracing;
@@ -125,10 +125,10 @@
         this.config = config;
         this.operator = operator;
         this.env = env;
-        this.door = new Door<>(part(config.sockets(), CLIENT_PART));
+        this.door = new ConnectionAdmission<>(part(config.sockets(), CLIENT_PART));
         this.engine = new Engine(loop, config, part(config.sockets(), UPSTREAM_PART), operator);
         this.random = new SplittableRandom(config.seed());
-        this.shedder = new Shedder(
+        this.shedder = new LoadShedder(
                 new double[0],
                 config.settings().tenants().stream()
                         .mapToDouble(Balancer.Tenant::share)
@@ -141,8 +141,8 @@
     private void take(ProxyConfig taken) {
         config = taken;
         taken.classes().names().forEach(counters::list);
-        shedder.classes(taken.settings().classes().stream()
-                .mapToDouble(Balancer.RequestClass::worth)
+        shedder.setClasses(taken.settings().classes().stream()
+                .mapToDouble(Balancer.RequestClass::importance)
                 .toArray());
         long longest = taken.classes().names().stream()
                 .mapToInt(taken.classes()::number)
@@ -159,7 +159,7 @@
     /** While old and new processes are there, all together may hold no more than one. */
     private void bound() {
         int mine = config.sockets() / processes;
-        door.places(part(mine, CLIENT_PART));
+        door.setCapacity(part(mine, CLIENT_PART));
         engine.limit(part(mine, UPSTREAM_PART));
     }
 
@@ -182,7 +182,7 @@
             bound();
         }
         if (lifecycle.phase() == Phase.STOPPING && generations.succeeded()) {
-            lifecycle.succeeded(engine.now());
+            lifecycle.successorStarted(engine.now());
             operator.accept("a successor takes clients: " + lifecycle.phase());
             leave();
         }
@@ -220,7 +220,8 @@
                     clients.forEach(c -> counted("now:" + c.state()));
                     trace.line(
                             worstLate,
-                            clients.size() + " " + events + " accepts=" + door.open() + " shed=" + shedder.level());
+                            clients.size() + " " + events + " accepts=" + door.hasCapacity() + " shed="
+                                    + shedder.level());
                     events.clear();
                     worstLate = 0;
                 },
@@ -369,7 +370,7 @@
                         engine.begin(config);
                         engine.watchLateness(late -> {
                             worstLate = Math.max(worstLate, late);
-                            shedder.late(engine.now(), late);
+                            shedder.recordLateness(engine.now(), late);
                         });
                         share();
                         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
@@ -524,7 +525,7 @@
         }
         share();
         parts.forEach(Part::leave);
-        loop.schedule(this::leave, Math.max(0, lifecycle.closesFrom() - now), TimeUnit.MICROSECONDS);
+        loop.schedule(this::leave, Math.max(0, lifecycle.closingStartsAt() - now), TimeUnit.MICROSECONDS);
         loop.schedule(this::closeFree, drainMillis - CLOSING_MILLIS, TimeUnit.MILLISECONDS);
         loop.schedule(engine::giveUpAll, drainMillis, TimeUnit.MILLISECONDS);
     }
@@ -550,7 +551,7 @@
             }
         }
         if (!rests.isEmpty() && sendBuffers() > 0) {
-            parting.next(rests).forEach(client -> client.sendBuffer(PARTING_EACH));
+            parting.select(rests).forEach(client -> client.sendBuffer(PARTING_EACH));
         }
     }
 
@@ -581,7 +582,7 @@
     private void sendAway(long now) {
         List<ClientConnection> vacant =
                 clients.stream().filter(client -> client.vacant(now)).toList();
-        int left = lifecycle.toClose(now, vacant.size(), TimeUnit.MILLISECONDS.toMicros(SWEEP_MILLIS));
+        int left = lifecycle.idleConnectionsToClose(now, vacant.size(), TimeUnit.MILLISECONDS.toMicros(SWEEP_MILLIS));
         vacant.subList(0, left).forEach(ClientConnection::closeIfFree);
     }
 
@@ -591,7 +592,7 @@
      */
     private void checkDrained() {
         if (closing()
-                && lifecycle.ending()
+                && lifecycle.isEnding()
                 && clients.isEmpty()
                 && (succession == null || !succession.generations().hasPredecessor())) {
             drained.countDown();
@@ -660,7 +661,7 @@
 
     @Override
     public boolean closing() {
-        return lifecycle.closing(engine.now());
+        return lifecycle.isClosing(engine.now());
     }
 
     @Override
@@ -684,20 +685,20 @@
     public void opened(ClientConnection connection) {
         counted("accepted");
         clients.add(connection);
-        door.arrived(engine.now(), connection);
+        door.opened(engine.now(), connection);
         makeRoom();
     }
 
     @Override
     public long turnsAway(RequestHead head) {
-        if (door.tight(engine.now(), shedder.worthiest(head.requestClass))) {
+        if (door.mustRefuseInDrain(engine.now(), shedder.isMostImportant(head.requestClass))) {
             counted("tight");
-        } else if (shedder.turnsAway(head.requestClass, head.tenant, head.repeat, random.nextDouble())) {
+        } else if (shedder.shouldShed(head.requestClass, head.tenant, head.repeat, random.nextDouble())) {
             counted("shed");
         } else {
             return 0;
         }
-        return shedder.retryAfter(random.nextDouble());
+        return shedder.retryAfterMicros(random.nextDouble());
     }
 
     @Override
@@ -711,14 +712,14 @@
 
     @Override
     public void asks(ClientConnection connection) {
-        door.asks(engine.now(), connection);
+        door.requestReceived(engine.now(), connection);
     }
 
     @Override
     public void closed(ClientConnection connection) {
         clients.remove(connection);
-        parting.left(connection);
-        door.left(connection);
+        parting.finished(connection);
+        door.closed(connection);
         makeRoom();
         checkDrained();
     }
@@ -726,9 +727,9 @@
     @Override
     public void idle(ClientConnection connection, boolean turnedAway) {
         if (turnedAway) {
-            door.turnedAway(engine.now(), connection);
+            door.rejected(engine.now(), connection);
         } else {
-            door.answered(engine.now(), connection);
+            door.responseSent(engine.now(), connection);
         }
         if (!listener.config().isAutoRead()) {
             makeRoom();
@@ -737,7 +738,7 @@
 
     private void sweep() {
         long now = engine.now();
-        if (closing() && lifecycle.ending()) {
+        if (closing() && lifecycle.isEnding()) {
             part();
         }
         for (ClientConnection client : List.copyOf(clients)) {
@@ -763,12 +764,12 @@
             return;
         }
         long now = engine.now();
-        for (ClientConnection client : door.surplus(now)) {
+        for (ClientConnection client : door.connectionsToClose(now)) {
             if (!client.reading(now)) {
                 client.closeIfFree();
-                door.left(client); // it closes when what was answered is written out, and need not be named again
+                door.closed(client); // it closes when what was answered is written out, and need not be named again
             }
         }
-        listener.config().setAutoRead(door.open());
+        listener.config().setAutoRead(door.hasCapacity());
     }
 }
--- a/src/main/java/anisebend/net/Trace.java
+++ b/src/main/java/anisebend/net/Trace.java
@@ -3,7 +3,7 @@
 import anisebend.Balancer;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ServerView;
-import anisebend.Balancer.Why;
+import anisebend.Balancer.UnservedReason;
 import gorsemast.http.Traffic;
 import java.lang.management.ManagementFactory;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
 final class Trace {
     private final Engine engine;
     private final Consumer<String> out;
-    private final long[] why = new long[Why.values().length];
+    private final long[] why = new long[UnservedReason.values().length];
     private final Map<String, long[]> before = new HashMap<>();
     private final long startMicros;
     private long[] counts = new long[5];
@@ -42,7 +42,7 @@
                 .append("\n  open=")
                 .append(view.open())
                 .append(" homeless=")
-                .append(view.homeless())
+                .append(view.unassigned())
                 .append(" retries=")
                 .append(Math.round(view.retriesLeft() * 10) / 10.0)
                 .append(" cpu=")
@@ -53,9 +53,9 @@
             s.append(' ').append(names[i]).append('=').append(present[i] - counts[i]);
         }
         counts = present;
-        for (Why w : Why.values()) {
-            s.append(' ').append(w).append('=').append(view.concluded()[w.ordinal()] - why[w.ordinal()]);
-            why[w.ordinal()] = view.concluded()[w.ordinal()];
+        for (UnservedReason w : UnservedReason.values()) {
+            s.append(' ').append(w).append('=').append(view.unservedByReason()[w.ordinal()] - why[w.ordinal()]);
+            why[w.ordinal()] = view.unservedByReason()[w.ordinal()];
         }
         for (ServerView server : view.servers()) {
             Traffic t = engine.traffic(server.id());
@@ -76,7 +76,7 @@
                     .append(" out=")
                     .append(server.inFlight())
                     .append(" left=")
-                    .append(server.classesLeftOut())
+                    .append(server.excludedClasses())
                     .append(" slow=")
                     .append(Math.round(server.slowness() * 100) / 100.0);
             if (t == null) {
@@ -89,7 +89,7 @@
                     .append(" notup=")
                     .append(since(last, i++, t.connectsFailed))
                     .append(" noroom=")
-                    .append(since(last, i++, t.noRoom));
+                    .append(since(last, i++, t.noCapacity));
             long up = since(last, i++, t.connectMicros);
             s.append(" upms=").append(up / 1000);
             long ok = since(last, i++, t.okMicros);
--- a/src/main/java/anisebend/net/Warmup.java
+++ b/src/main/java/anisebend/net/Warmup.java
@@ -126,7 +126,7 @@
                                     .addLast(
                                             new HttpRequestEncoder(),
                                             new StrictHttp.Responses(),
-                                            new HttpObjectAggregator(Upstream.MAX_KEPT),
+                                            new HttpObjectAggregator(Upstream.MAX_BUFFERED_BYTES),
                                             new Asking());
                         }
                     })
--- a/src/main/java/gorsemast/admin/AdminListener.java
+++ b/src/main/java/gorsemast/admin/AdminListener.java
@@ -30,7 +30,7 @@
  * came first goes when another comes, and none stays longer than {@link #WHOLE_MILLIS}; none of it is taken from the
  * clients' places.
  *
- * <p><b>Threads.</b> All on the event loop that is handed in, which also owns whatever {@link Calls} reads.
+ * <p><b>Threads.</b> All on the event loop that is handed in, which also owns whatever {@link CommandDecoder} reads.
  */
 public final class AdminListener {
     /** Callers at a time. Each is answered within one turn of the loop, so only the silent ones add up. */
--- a/src/main/java/gorsemast/admission/ConcurrencyLimiter.java
+++ b/src/main/java/gorsemast/admission/ConcurrencyLimiter.java
@@ -48,13 +48,13 @@
      * Requests that are alike.
      *
      * @param name what is known of them is kept under
-     * @param aimMicros within which their answers are wanted
-     * @param mostIfLong places that they may hold where they usually take longer than that
+     * @param targetLatencyMicros within which their answers are wanted
+     * @param maxSlotsIfSlow places that they may hold where they usually take longer than that
      */
-    public record Kind(String name, long aimMicros, int mostIfLong) {
+    public record Kind(String name, long targetLatencyMicros, int maxSlotsIfSlow) {
         /** How long one of them may wait for a place. */
-        public long longestWaitMicros() {
-            return Math.min(LONGEST_WAIT_MICROS, aimMicros / 2);
+        public long maxWaitMicros() {
+            return Math.min(LONGEST_WAIT_MICROS, targetLatencyMicros / 2);
         }
     }
 
@@ -72,7 +72,7 @@
         /** It has a place, which {@link #release} gives back. */
         ADMITTED,
         /** It is told later, unless it is withdrawn. */
-        WAITS,
+        QUEUED,
         /** There is none for it. */
         REFUSED
     }
@@ -130,7 +130,7 @@
         }
         Usage usage = usage(kind);
         usage.ask(now);
-        if (usage.held >= Math.max(1, kind.mostIfLong) && usage.usual > kind.aimMicros) {
+        if (usage.held >= Math.max(1, kind.maxSlotsIfSlow) && usage.usual > kind.targetLatencyMicros) {
             return Admission.REFUSED;
         }
         if (taken < places) {
@@ -138,7 +138,7 @@
             return Admission.ADMITTED;
         }
         return !stuck && isLight(usage, now) && queue(new Waiting(kind, waiter), now)
-                ? Admission.WAITS
+                ? Admission.QUEUED
                 : Admission.REFUSED;
     }
 
@@ -235,7 +235,7 @@
     }
 
     /** How many places are taken. */
-    public int taken() {
+    public int slotsInUse() {
         return taken;
     }
 
--- a/src/main/java/gorsemast/admission/Door.java
+++ b/src/main/java/gorsemast/admission/ConnectionAdmission.java
@@ -18,17 +18,17 @@
  *
  * <p>In a drain nobody new comes in for long, and a client that finds all of its connections in use needs one more: it
  * would turn to a proxy that may not be back yet, and never ask here again. So idle ones stay, and the last of them are
- * kept free by turning requests away ({@link #tight}).
+ * kept free by turning requests away ({@link #mustRefuseInDrain}).
  *
  * <p><b>When it could hurt.</b> A client whose connection goes pays for another. Where many clients each ask seldom,
  * more places (descriptors) are the remedy. While the process drains, idle ones stay: their clients could not come
  * back.
  *
- * <p><b>Bounds.</b> {@code places} connections; each call is O(1) but for those that close.
+ * <p><b>Bounds.</b> {@code setCapacity} connections; each call is O(1) but for those that close.
  *
  * @param <G> a connection, compared by identity of its {@code equals}
  */
-public final class Door<G> {
+public final class ConnectionAdmission<G> {
     /** The part of the places from which on idle connections make room before there is need. */
     static final double IDLE_PART = 0.625;
     /** In a drain so many connections on which anything was asked are kept free: this part, so many at least, half at most. */
@@ -57,8 +57,8 @@
     private boolean draining;
     private long drainSince;
 
-    /** A door to {@code places} connections, at least 1. */
-    public Door(int places) {
+    /** A door to {@code setCapacity} connections, at least 1. */
+    public ConnectionAdmission(int places) {
         this.places = Math.max(1, places);
         for (Standing ignored : Standing.values()) {
             rows.add(new LinkedHashMap<>());
@@ -66,7 +66,7 @@
     }
 
     /** Changes the number of places; who is in stays until somebody must go. */
-    public void places(int atMost) {
+    public void setCapacity(int atMost) {
         places = Math.max(1, atMost);
     }
 
@@ -77,27 +77,27 @@
     }
 
     /** Somebody came, who has not asked for anything yet. */
-    public void arrived(long now, G guest) {
+    public void opened(long now, G guest) {
         enter(now, guest, Standing.NEW);
     }
 
     /** A whole request of this one is in hand. */
-    public void asks(long now, G guest) {
+    public void requestReceived(long now, G guest) {
         enter(now, guest, Standing.BUSY);
     }
 
     /** It has its answer and may ask again. */
-    public void answered(long now, G guest) {
+    public void responseSent(long now, G guest) {
         enter(now, guest, Standing.IDLE);
     }
 
     /** It has sent what can't be taken, and was told so. */
-    public void turnedAway(long now, G guest) {
+    public void rejected(long now, G guest) {
         enter(now, guest, Standing.TURNED_AWAY);
     }
 
     /** It has gone; unknown ones are ignored. */
-    public void left(G guest) {
+    public void closed(G guest) {
         Standing before = standings.remove(guest);
         if (before != null) {
             row(before).remove(guest);
@@ -110,15 +110,15 @@
     }
 
     /** Whether anybody more may come in. */
-    public boolean open() {
+    public boolean hasCapacity() {
         return size() < places;
     }
 
     /**
-     * Those that must go now, the least missed first. They count until {@link #left} is called for them, which
+     * Those that must go now, the least missed first. They count until {@link #closed} is called for them, which
      * the caller does when it closes them; a second call before that may name them again.
      */
-    public List<G> surplus(long now) {
+    public List<G> connectionsToClose(long now) {
         List<G> gone = new ArrayList<>(0);
         int over = size() - places + 1;
         if (over > 0) {
@@ -140,7 +140,7 @@
      *
      * @param worthy whether it is of the worthiest class, for which half of that part may be used
      */
-    public boolean tight(long now, boolean worthy) {
+    public boolean mustRefuseInDrain(long now, boolean worthy) {
         if (!draining || now - drainSince <= LAST_ARRIVALS_MICROS) {
             return false;
         }
@@ -151,7 +151,7 @@
     }
 
     private void enter(long now, G guest, Standing standing) {
-        left(guest);
+        closed(guest);
         standings.put(guest, standing);
         row(standing).put(guest, now);
     }
--- a/src/main/java/gorsemast/admission/Lateness.java
+++ b/src/main/java/gorsemast/admission/Lateness.java
@@ -19,14 +19,14 @@
     }
 
     /** The tick has run; returns by how much it was late. */
-    public long ran(long now) {
+    public long tick(long now) {
         last = Math.max(0, now - due);
         due = now + period;
         return last;
     }
 
     /** How late whatever is handled now may be: by what the next tick is overdue, or the last was, if that is more. */
-    public long at(long now) {
+    public long estimate(long now) {
         long recent = due - now > period / 2 ? last : 0;
         return Math.max(recent, Math.max(0, now - due));
     }
--- a/src/main/java/gorsemast/admission/Shedder.java
+++ b/src/main/java/gorsemast/admission/LoadShedder.java
@@ -16,7 +16,7 @@
  * <p><b>When it could hurt.</b> A process that pauses often for longer than the target and has room otherwise turns
  * away what it could have served. Bounds: O(classes + tenants) memory, O(1) a request.
  */
-public final class Shedder {
+public final class LoadShedder {
     /** Lateness that is no overload, in microseconds; a tenth of the shortest wanted times seen. */
     public static final long TARGET_MICROS = 20_000;
     /** How long it must stay over the target, in microseconds. */
@@ -50,14 +50,14 @@
     private long intervalEnds;
 
     /** For classes of these worths and tenants of these shares of the service, from 0 to 1. */
-    public Shedder(double[] worths, double[] shares) {
-        classes(worths);
+    public LoadShedder(double[] worths, double[] shares) {
+        setClasses(worths);
         this.shares = shares.clone();
         asked = new double[shares.length];
     }
 
     /** Goes on with classes of other worths, by their numbers. */
-    public void classes(double[] worths) {
+    public void setClasses(double[] worths) {
         double[] order = Arrays.stream(worths).distinct().sorted().toArray();
         ranks = Arrays.stream(worths)
                 .mapToInt(worth -> Arrays.binarySearch(order, worth))
@@ -66,7 +66,7 @@
     }
 
     /** How late the loop was at a tick. */
-    public void late(long now, long micros) {
+    public void recordLateness(long now, long micros) {
         least = Math.min(least, micros);
         if (now < intervalEnds) {
             return;
@@ -92,7 +92,7 @@
      * @param repeat whether the client says that it has asked before
      * @param draw a random number from 0 to 1
      */
-    public boolean turnsAway(int type, int tenant, boolean repeat, double draw) {
+    public boolean shouldShed(int type, int tenant, boolean repeat, double draw) {
         boolean over = false;
         askedInAll++;
         if (tenant < asked.length) {
@@ -107,12 +107,12 @@
     }
 
     /** Whether no class is worth more. */
-    public boolean worthiest(int type) {
+    public boolean isMostImportant(int type) {
         return ranks[type] == most;
     }
 
     /** When to come back, in microseconds, with a random number from 0 to 1. */
-    public long retryAfter(double draw) {
+    public long retryAfterMicros(double draw) {
         return (long) (FIRST_RETRY_MICROS * (1 + level) * (0.5 + draw));
     }
 
--- a/src/main/java/gorsemast/admission/ComeBack.java
+++ b/src/main/java/gorsemast/admission/RetryDelay.java
@@ -14,7 +14,7 @@
  *
  * <p><b>Bounds.</b> O(1) memory and time. Times in microseconds; one thread.
  */
-public final class ComeBack {
+public final class RetryDelay {
     /** On top of the wait while next to nothing is refused. */
     static final long FIRST_MICROS = 20_000;
     /** On top of the wait where everything is refused. */
@@ -25,7 +25,7 @@
     private double refused;
 
     /** A request has been answered. */
-    public void served() {
+    public void recordServed() {
         refused -= NEW_PART * refused;
     }
 
@@ -35,13 +35,13 @@
      * @param wait what is known of how long the next one would wait, 0 for nothing
      * @param draw a random number from 0 to 1
      */
-    public long refused(long wait, double draw) {
+    public long recordRefused(long wait, double draw) {
         refused += NEW_PART * (1 - refused);
         return (long) ((wait + FIRST_MICROS + refused * (MOST_MICROS - FIRST_MICROS)) * (0.5 + draw));
     }
 
     /** The part of the requests that were refused lately, from 0 to 1. */
-    public double part() {
+    public double refusedFraction() {
         return refused;
     }
 }
--- a/src/main/java/gorsemast/cache/Demand.java
+++ b/src/main/java/gorsemast/cache/DemandTracker.java
@@ -5,7 +5,7 @@
  *
  * <p>A rate that forgets over {@link #SPAN_MICROS}; two bounds, so that homes do not change to and fro. One thread.
  */
-public final class Demand {
+public final class DemandTracker {
     private static final double SPAN_MICROS = 4e6;
     private static final double MICROS = 1e6;
     /** Of what the servers bear: below the first part each zone may have homes, above the second they are shared. */
@@ -18,7 +18,7 @@
     private boolean zoned = true;
 
     /** One request. */
-    public void asked(long now) {
+    public void recordRequest(long now) {
         rate = at(now) + MICROS / SPAN_MICROS;
         last = now;
     }
@@ -33,7 +33,7 @@
      * @param perSecond what the servers bear
      * @param edges that are asked about as often as this one
      */
-    public boolean zoned(long now, double perSecond, int edges) {
+    public boolean homesPerZone(long now, double perSecond, int edges) {
         double all = at(now) * edges;
         zoned = zoned ? all < HIGH * perSecond : all < LOW * perSecond;
         return zoned;
--- a/src/main/java/gorsemast/cache/EdgeWaiter.java
+++ b/src/main/java/gorsemast/cache/EdgeWaiter.java
@@ -22,32 +22,32 @@
     }
 
     @Override
-    public void here(Copy copy, boolean once) {
-        once(() -> edge.here(copy, once));
+    public void onResponse(CachedResponse copy, boolean once) {
+        once(() -> edge.onResponse(copy, once));
     }
 
     @Override
-    public void other(A answer) {
-        once(() -> edge.other(answer));
+    public void onUncacheable(A answer) {
+        once(() -> edge.onUncacheable(answer));
     }
 
     @Override
-    public void refused(long retryAfterMicros) {
-        once(() -> edge.refused(retryAfterMicros));
+    public void onRefused(long retryAfterMicros) {
+        once(() -> edge.onRefused(retryAfterMicros));
     }
 
     @Override
-    public void failed() {
-        once(edge::failed);
+    public void onFailed() {
+        once(edge::onFailed);
     }
 
     @Override
-    public void tooLong() {
-        once(edge::tooLong);
+    public void onTooLong() {
+        once(edge::onTooLong);
     }
 
     @Override
-    public void inHand() {
-        once(edge::inHand);
+    public void onStillFetching() {
+        once(edge::onStillFetching);
     }
 }
--- a/src/main/java/gorsemast/cache/Fetching.java
+++ b/src/main/java/gorsemast/cache/FetchCoordinator.java
@@ -1,10 +1,10 @@
 package gorsemast.cache;
 
-import gorsemast.admission.ComeBack;
+import gorsemast.admission.RetryDelay;
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.GossipState;
 import gorsemast.gossip.Hash;
-import gorsemast.gossip.PurgeNews;
+import gorsemast.gossip.PurgeRequest;
 import gorsemast.observe.EventCounters;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -26,17 +26,17 @@
  * on the shelf, and given at most to those who had asked by then. Fetches from servers count at this edge's part of what the
  * service bears; those that nobody waits for have half of it.
  *
- * <p><b>Bounds.</b> {@link CopyCache}'s and as many fetches as there are requests. No I/O, no clock of its own, no threads:
+ * <p><b>Bounds.</b> {@link ResponseCache}'s and as many fetches as there are requests. No I/O, no clock of its own, no threads:
  * {@link ObjectSources} carry out. One caller; times in microseconds.
  *
  * @param <A> an answer that is no copy, passed on as it is
  */
-public final class Fetching<A> {
+public final class FetchCoordinator<A> {
     /** Who asks: a client; an edge, as the object's home; a home, as the edge that fetches for it. */
-    public static final int ASKED_BY_CLIENT = 0;
+    public static final int HOP_CLIENT = 0;
 
-    public static final int ASKED_AS_HOME = 1;
-    public static final int ASKED_AS_FETCHER = 2;
+    public static final int HOP_HOME = 1;
+    public static final int HOP_FETCHER = 2;
     private static final long LEAST_LEFT = 60_000;
     /** Renewed ahead, by one for all, in this last part of its time, where it is asked for often. */
     private static final double RENEW_FROM = 0.8;
@@ -61,21 +61,21 @@
     private static final long OVERDUE_SLACK = 1_000_000;
     private static final int OVERDUE_CHECKS = 20;
     /** When to come back where nothing better is known. */
-    public static final long LATER_MICROS = 300_000;
+    public static final long DEFAULT_RETRY_AFTER_MICROS = 300_000;
 
     /** One fetch for all who ask meanwhile. */
     private final class Fetch {
         private boolean over;
         private int overdueChecks;
-        private final WantedObject what;
+        private final ObjectRequest what;
         private final String key;
-        private final long purges = shelf.number();
+        private final long purges = shelf.lastPurgeNumber();
         private final long begun = clock.getAsLong();
         private final List<ObjectWaiter<A>> waiters = new ArrayList<>();
         private int level;
         private int homes;
 
-        Fetch(WantedObject what, String key, int level) {
+        Fetch(ObjectRequest what, String key, int level) {
             this.level = level;
             this.what = what;
             this.key = key;
@@ -98,7 +98,7 @@
         /** Those who are to be told now; nobody where they have been told already. */
         private List<ObjectWaiter<A>> over() {
             if (over) {
-                invariants.violated(FetchInvariants.Violation.ENDED_TWICE);
+                invariants.record(FetchInvariants.Violation.ENDED_TWICE);
                 return List.of();
             }
             over = true;
@@ -107,46 +107,46 @@
             return waiters;
         }
 
-        void here(Copy copy) {
+        void here(CachedResponse copy) {
             boolean once = shelf.purgedSince(purges, key, copy);
-            hot.copied(key, copy.body().length);
+            hot.recordSize(key, copy.body().length);
             if (!once && what.route().ttlMicros() > 0) {
                 counters.add(FetchEvent.COPY_EVICTED, shelf.put(key, copy));
             }
-            over().forEach(waiter -> waiter.here(copy, once));
+            over().forEach(waiter -> waiter.onResponse(copy, once));
         }
 
         void other(A answer) {
-            over().forEach(waiter -> waiter.other(answer));
+            over().forEach(waiter -> waiter.onUncacheable(answer));
         }
 
         void refused(long retryAfter) {
-            over().forEach(waiter -> waiter.refused(retryAfter));
+            over().forEach(waiter -> waiter.onRefused(retryAfter));
         }
 
         void failed() {
-            over().forEach(ObjectWaiter::failed);
+            over().forEach(ObjectWaiter::onFailed);
         }
 
         void tooLong() {
             longs.put(key, Boolean.TRUE);
-            over().forEach(ObjectWaiter::tooLong);
+            over().forEach(ObjectWaiter::onTooLong);
         }
     }
 
     private final LongSupplier clock;
-    private final CopyCache shelf;
-    private final Homes homes;
+    private final ResponseCache shelf;
+    private final HomeSelector homes;
     private final GossipState board;
     private final ObjectSources<A> sources;
     private final String self;
     private final long selfHash;
-    private final HotObjects hot;
+    private final HotObjectTracker hot;
     private final SplittableRandom random;
-    private final OriginRights rights;
-    private final ComeBack comeBack = new ComeBack();
-    private final Map<String, Demand> demands = new HashMap<>();
-    private final Patience patience = new Patience();
+    private final OriginPermits rights;
+    private final RetryDelay comeBack = new RetryDelay();
+    private final Map<String, DemandTracker> demands = new HashMap<>();
+    private final ResponseTimeoutEstimator patience = new ResponseTimeoutEstimator();
     /**
      * By whom they wait for: a home, who fetches for it, servers. Who asks as one of these joins only what waits for somebody
      * beyond him, so that a home never waits for itself.
@@ -173,11 +173,11 @@
      * @param window what the servers' rate is counted over
      * @param linkBytes that its link carries a second; infinite where that is no bound
      */
-    public Fetching(
+    public FetchCoordinator(
             String self,
             LongSupplier clock,
-            CopyCache shelf,
-            Homes homes,
+            ResponseCache shelf,
+            HomeSelector homes,
             GossipState board,
             long window,
             double linkBytes,
@@ -185,14 +185,14 @@
             ObjectSources<A> sources) {
         this.self = self;
         this.selfHash = Hash.of(self);
-        this.hot = new HotObjects(linkBytes);
+        this.hot = new HotObjectTracker(linkBytes);
         this.clock = clock;
         this.shelf = shelf;
         this.homes = homes;
         this.board = board;
         this.random = new SplittableRandom(seed);
         this.sources = sources;
-        this.rights = new OriginRights(clock, homes, window, sources::perSecond, sources::fetchers);
+        this.rights = new OriginPermits(clock, homes, window, sources::serverRatePerSecond, sources::fetcherCount);
     }
 
     /** What has happened to requests for objects since the start. */
@@ -201,7 +201,7 @@
     }
 
     /** What this edge may send to servers. */
-    OriginRights rights() {
+    OriginPermits permits() {
         return rights;
     }
 
@@ -219,39 +219,39 @@
         for (Fetch fetch : live) {
             fetch.overdueChecks += fetch.isOverdue(now) ? 1 : 0;
             if (fetch.overdueChecks == OVERDUE_CHECKS) {
-                invariants.violated(FetchInvariants.Violation.NEVER_ENDED);
+                invariants.record(FetchInvariants.Violation.NEVER_ENDED);
             }
         }
-        if (rights.open() > live.size()) {
-            invariants.violated(FetchInvariants.Violation.RIGHT_UNSETTLED);
+        if (rights.outstanding() > live.size()) {
+            invariants.record(FetchInvariants.Violation.RIGHT_UNSETTLED);
         }
     }
 
     /** A purge has become known. */
-    public void purged(Entry item) {
-        PurgeNews purge = PurgeNews.of(item);
+    public void applyPurge(Entry item) {
+        PurgeRequest purge = PurgeRequest.fromEntry(item);
         if (purge != null) {
             shelf.purge(purge);
             if (purge.tag().isEmpty()) {
-                fetches.forEach(of ->
-                        of.keySet().removeIf(key -> CopyCache.path(purge, key))); // who asks from now on gets another
+                fetches.forEach(of -> of.keySet()
+                        .removeIf(key -> ResponseCache.matchesPath(purge, key))); // who asks from now on gets another
             }
         }
     }
 
     /** Whether it is known to be too long to be held. */
-    public boolean isLong(WantedObject what) {
+    public boolean isTooLongToCache(ObjectRequest what) {
         return longs.get(what.key()) != null;
     }
 
     /** A client asks: a copy that may be served now, which is renewed where its time is nearly over; null for none. */
-    public Copy held(WantedObject what) {
+    public CachedResponse lookUp(ObjectRequest what) {
         long now = clock.getAsLong();
         String key = what.key();
-        demand(what.service()).asked(now);
-        hot.asked(now, key, what.route().ttlMicros());
+        demand(what.service()).recordRequest(now);
+        hot.recordRequest(now, key, what.route().ttlMicros());
         counters.count(FetchEvent.CLIENT_ASKED);
-        Copy copy = shelf.get(now, key, what.route().ttlMicros());
+        CachedResponse copy = shelf.getFresh(now, key, what.route().ttlMicros());
         if (copy != null) {
             counters.count(FetchEvent.CLIENT_HAD_COPY);
             renew(now, key, copy, what);
@@ -259,39 +259,40 @@
         return copy;
     }
 
-    /** Asks for an object; {@code hop} says who asks, from {@link #ASKED_BY_CLIENT} on. */
-    public void ask(WantedObject what, int hop, long giveUp, ObjectWaiter<A> waiter) {
-        if (hop <= ASKED_BY_CLIENT) {
-            find(what, ASKED_BY_CLIENT, giveUp, waiter);
+    /** Asks for an object; {@code hop} says who asks, from {@link #HOP_CLIENT} on. */
+    public void request(ObjectRequest what, int hop, long giveUp, ObjectWaiter<A> waiter) {
+        if (hop <= HOP_CLIENT) {
+            find(what, HOP_CLIENT, giveUp, waiter);
             return;
         }
         counters.count(FetchEvent.EDGE_ASKED);
         long now = clock.getAsLong();
         EdgeWaiter<A> edge = new EdgeWaiter<>(waiter);
         // What it asks for is of use to others too, so it is fetched for as long as its route allows.
-        find(what, Math.min(ASKED_AS_FETCHER, hop), now + what.route().timeoutMicros(), edge);
+        find(what, Math.min(HOP_FETCHER, hop), now + what.route().timeoutMicros(), edge);
         if (!edge.isOver()) {
-            sources.later((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
+            sources.schedule((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
                 if (!edge.isOver()) {
                     counters.count(FetchEvent.EDGE_TOLD_IN_HAND);
-                    edge.inHand();
+                    edge.onStillFetching();
                 }
             });
         }
     }
 
-    private void find(WantedObject what, int asked, long giveUp, ObjectWaiter<A> waiter) {
+    private void find(ObjectRequest what, int asked, long giveUp, ObjectWaiter<A> waiter) {
         String key = what.key();
-        Copy copy = shelf.get(clock.getAsLong(), key, what.route().ttlMicros());
+        CachedResponse copy =
+                shelf.getFresh(clock.getAsLong(), key, what.route().ttlMicros());
         if (copy != null) {
             counters.count(FetchEvent.EDGE_HAD_COPY);
-            waiter.here(copy, false);
+            waiter.onResponse(copy, false);
             return;
         }
-        if (shelf.held(key) != null) {
+        if (shelf.peek(key) != null) {
             counters.count(FetchEvent.COPY_EXPIRED);
         }
-        for (int at = ASKED_AS_FETCHER; at >= asked; at--) {
+        for (int at = HOP_FETCHER; at >= asked; at--) {
             Fetch fetch = fetches.get(at).get(key);
             if (fetch != null) {
                 counters.count(FetchEvent.JOINED);
@@ -312,29 +313,29 @@
     private void begin(Fetch fetch, int hop, long giveUp) {
         long now = clock.getAsLong();
         String service = fetch.what.service();
-        int many = sources.fetchers(service);
-        boolean all = many >= homes.count();
-        String next = hop == ASKED_BY_CLIENT ? homes.of(now, homeKey(fetch), all && zoned(service)) : self;
-        int told = ASKED_AS_HOME;
-        if (next.equals(self) && hop < ASKED_AS_FETCHER && !homes.fetches(service, many)) {
-            next = homes.of(now, fetch.key, false, service, many);
-            told = ASKED_AS_FETCHER;
+        int many = sources.fetcherCount(service);
+        boolean all = many >= homes.edgeCount();
+        String next = hop == HOP_CLIENT ? homes.homeOf(now, homeKey(fetch), all && zoned(service)) : self;
+        int told = HOP_HOME;
+        if (next.equals(self) && hop < HOP_FETCHER && !homes.isFetcher(service, many)) {
+            next = homes.homeOf(now, fetch.key, false, service, many);
+            told = HOP_FETCHER;
         }
-        if (homes.passedOver()) {
+        if (homes.skippedHigherRanked()) {
             counters.count(FetchEvent.PASSED_OVER);
         }
         if (next.equals(self) || giveUp - now < LEAST_LEFT) {
             servers(fetch, fetch.waiters.isEmpty());
         } else {
-            double part = hop == ASKED_BY_CLIENT ? WAITS_FOR_HOME : WAITS_FOR_FETCHER;
-            long patient = patience.micros(fetch.what.route().aimMicros());
+            double part = hop == HOP_CLIENT ? WAITS_FOR_HOME : WAITS_FOR_FETCHER;
+            long patient = patience.timeoutMicros(fetch.what.route().targetLatencyMicros());
             home(fetch, next, told, giveUp, (long) Math.min(patient, part * (giveUp - now)));
         }
     }
 
     /** What names the home that this edge asks: the object's key, with a number where it has several homes. */
     private String homeKey(Fetch fetch) {
-        int count = hot.homes(fetch.key, fetch.what.route().ttlMicros(), homes.count());
+        int count = hot.homeCount(fetch.key, fetch.what.route().ttlMicros(), homes.edgeCount());
         long which = Math.floorMod(selfHash, (long) count);
         return which == 0 ? fetch.key : fetch.key + ' ' + which; // no key has a space
     }
@@ -351,41 +352,41 @@
     /** A home was of no use: the edge that fetches, where this is none, or else the servers. */
     private void beyond(Fetch fetch, long giveUp) {
         String service = fetch.what.service();
-        if (fetch.homes < MOST_HOMES && !homes.fetches(service, sources.fetchers(service))) {
-            begin(fetch, ASKED_AS_HOME, giveUp);
+        if (fetch.homes < MOST_HOMES && !homes.isFetcher(service, sources.fetcherCount(service))) {
+            begin(fetch, HOP_HOME, giveUp);
         } else {
             servers(fetch, false);
         }
     }
 
     /** A copy that is asked for near its end is fetched anew before it has ended; nobody waits for that. */
-    private void renew(long now, String key, Copy copy, WantedObject what) {
-        long life = Math.min(copy.ttl(), what.route().ttlMicros());
-        if (now - copy.asked() > RENEW_FROM * life && fetches.stream().noneMatch(of -> of.containsKey(key))) {
+    private void renew(long now, String key, CachedResponse copy, ObjectRequest what) {
+        long life = Math.min(copy.ttlMicros(), what.route().ttlMicros());
+        if (now - copy.requestedAt() > RENEW_FROM * life && fetches.stream().noneMatch(of -> of.containsKey(key))) {
             counters.count(FetchEvent.RENEWAL);
-            Fetch fetch = new Fetch(what, key, ASKED_BY_CLIENT);
-            fetches.get(ASKED_BY_CLIENT).put(key, fetch);
-            begin(fetch, ASKED_BY_CLIENT, now + what.route().timeoutMicros());
+            Fetch fetch = new Fetch(what, key, HOP_CLIENT);
+            fetches.get(HOP_CLIENT).put(key, fetch);
+            begin(fetch, HOP_CLIENT, now + what.route().timeoutMicros());
         }
     }
 
     private void home(Fetch fetch, String home, int hop, long giveUp, long wait) {
         fetch.homes++;
         fetch.waitsAt(hop - 1);
-        ask(fetch, new HomeQuestion(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp));
+        ask(fetch, new HomeRequest(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp));
     }
 
-    private void ask(Fetch fetch, HomeQuestion question) {
+    private void ask(Fetch fetch, HomeRequest question) {
         long asked = clock.getAsLong();
         String home = question.edge();
-        long giveUp = question.giveUp();
-        boolean atHome = question.hop() == ASKED_AS_HOME;
+        long giveUp = question.deadline();
+        boolean atHome = question.hop() == HOP_HOME;
         counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
-        sources.home(question, new HomeAnswer<>() {
+        sources.requestFromEdge(question, new HomeResponseListener<>() {
             private void answered() {
                 long now = clock.getAsLong();
-                patience.answered(now - asked);
-                homes.answered(now, home);
+                patience.recordResponse(now - asked);
+                homes.recordAnswer(now, home);
             }
 
             private void count(FetchEvent ofHome, FetchEvent ofFetcher) {
@@ -393,39 +394,39 @@
             }
 
             @Override
-            public void copy(Copy copy) {
+            public void copy(CachedResponse copy) {
                 answered();
                 count(FetchEvent.HOME_COPY, FetchEvent.FETCHER_COPY);
                 fetch.here(copy);
             }
 
             @Override
-            public void other(A answer) {
+            public void onUncacheable(A answer) {
                 answered();
                 fetch.other(answer);
             }
 
             @Override
-            public void refused(long retryAfter) {
+            public void onRefused(long retryAfter) {
                 answered();
                 count(FetchEvent.HOME_REFUSED, FetchEvent.FETCHER_REFUSED);
                 fetch.refused(retryAfter);
             }
 
             @Override
-            public void useless() {
+            public void onUnusable() {
                 answered();
                 count(FetchEvent.HOME_USELESS, FetchEvent.FETCHER_USELESS);
                 beyond(fetch, giveUp);
             }
 
             @Override
-            public void silent(boolean ours) {
+            public void onSilent(boolean ours) {
                 count(FetchEvent.HOME_SILENT, FetchEvent.FETCHER_SILENT);
                 if (ours) {
-                    fetch.refused(LATER_MICROS);
+                    fetch.refused(DEFAULT_RETRY_AFTER_MICROS);
                 } else {
-                    if (!homes.failed(clock.getAsLong(), home, asked)) {
+                    if (!homes.recordFailure(clock.getAsLong(), home, asked)) {
                         counters.count(FetchEvent.SILENT_TO_ONE);
                     }
                     afterSilence(fetch, question.hop(), giveUp);
@@ -433,30 +434,32 @@
             }
 
             @Override
-            public void inHand() {
-                homes.answered(clock.getAsLong(), home);
+            public void onStillFetching() {
+                homes.recordAnswer(clock.getAsLong(), home);
                 count(FetchEvent.HOME_IN_HAND, FetchEvent.FETCHER_IN_HAND);
                 long left = giveUp - clock.getAsLong();
                 if (left < LEAST_LEFT) {
-                    fetch.refused(LATER_MICROS); // some of those who wait have time left to come back, and will find it
+                    fetch.refused(
+                            DEFAULT_RETRY_AFTER_MICROS); // some of those who wait have time left to come back, and will
+                    // find it
                 } else {
-                    ask(fetch, question.again(board.purgeDigest(), Math.min(question.patience(), left)));
+                    ask(fetch, question.retry(board.purgeDigest(), Math.min(question.responseTimeout(), left)));
                 }
             }
         });
     }
 
     /** Whether one more may go to a service's servers now, a further attempt or one for no object; it is counted if so. */
-    public boolean another(String service) {
-        OriginRights.Right right = rights.take(service, false);
+    public boolean tryAcquirePermit(String service) {
+        OriginPermits.Permit right = rights.tryAcquire(service, false);
         if (right != null) {
-            right.used();
+            right.markUsed();
         }
         return right != null;
     }
 
-    private Demand demand(String service) {
-        return demands.computeIfAbsent(service, name -> new Demand());
+    private DemandTracker demand(String service) {
+        return demands.computeIfAbsent(service, name -> new DemandTracker());
     }
 
     /**
@@ -464,80 +467,80 @@
      * they would bear it even if nothing were held.
      */
     private boolean zoned(String service) {
-        return demand(service).zoned(clock.getAsLong(), sources.perSecond(service), homes.count());
+        return demand(service).homesPerZone(clock.getAsLong(), sources.serverRatePerSecond(service), homes.edgeCount());
     }
 
     private void servers(Fetch fetch, boolean ahead) {
         long asked = clock.getAsLong();
-        fetch.waitsAt(ASKED_AS_FETCHER);
-        String service = fetch.what.route().service(random.nextDouble());
-        OriginRights.Right right = rights.take(service, ahead);
+        fetch.waitsAt(HOP_FETCHER);
+        String service = fetch.what.route().selectService(random.nextDouble());
+        OriginPermits.Permit right = rights.tryAcquire(service, ahead);
         if (right == null) {
-            long roomIn = rights.roomIn(service);
+            long roomIn = rights.microsUntilAvailable(service);
             if (!ahead
                     && asked + roomIn - fetch.begun
-                            < WAITS_OF_AIM * fetch.what.route().aimMicros()) {
+                            < WAITS_OF_AIM * fetch.what.route().targetLatencyMicros()) {
                 counters.count(FetchEvent.RIGHT_AWAITED);
-                sources.later(roomIn, () -> servers(fetch, false)); // in time yet
+                sources.schedule(roomIn, () -> servers(fetch, false)); // in time yet
             } else {
                 counters.count(FetchEvent.RIGHT_REFUSED);
-                fetch.refused(comeBack.refused(roomIn, random.nextDouble()));
+                fetch.refused(comeBack.recordRefused(roomIn, random.nextDouble()));
             }
             return;
         }
         counters.count(FetchEvent.RIGHT_TAKEN);
-        boolean known = sources.servers(
-                service, fetch.what, asked, asked + fetch.what.route().timeoutMicros(), new ServerAnswer<>() {
+        boolean known = sources.requestFromServers(
+                service, fetch.what, asked, asked + fetch.what.route().timeoutMicros(), new ServerResponseListener<>() {
                     private void count(FetchEvent event) {
                         counters.count(event, clock.getAsLong() - asked);
                     }
 
                     @Override
-                    public void copy(Copy copy) {
+                    public void copy(CachedResponse copy) {
                         count(FetchEvent.SERVERS_COPY);
-                        right.used();
-                        comeBack.served();
+                        right.markUsed();
+                        comeBack.recordServed();
                         fetch.here(copy);
                     }
 
                     @Override
-                    public void other(A answer) {
+                    public void onUncacheable(A answer) {
                         count(FetchEvent.SERVERS_OTHER);
-                        right.used();
+                        right.markUsed();
                         fetch.other(answer);
                     }
 
                     @Override
-                    public void refused(long retryAfter) {
+                    public void onRefused(long retryAfter) {
                         count(FetchEvent.SERVERS_REFUSED);
-                        right.used();
+                        right.markUsed();
                         fetch.refused(retryAfter);
                     }
 
                     @Override
-                    public void notSent(long retryAfter) {
+                    public void onNotSent(long retryAfter) {
                         count(FetchEvent.SERVERS_NOT_SENT);
-                        right.giveBack();
+                        right.release();
                         fetch.refused(retryAfter);
                     }
 
                     @Override
-                    public void failed() {
+                    public void onFailed() {
                         count(FetchEvent.SERVERS_FAILED);
-                        right.used();
+                        right.markUsed();
                         fetch.failed();
                     }
 
                     @Override
-                    public void tooLong() {
+                    public void onTooLong() {
                         count(FetchEvent.SERVERS_TOO_LONG);
-                        right.used();
+                        right.markUsed();
                         fetch.tooLong();
                     }
                 });
         if (!known) {
-            right.giveBack();
-            fetch.refused(LATER_MICROS);
+            right.release();
+            fetch.refused(DEFAULT_RETRY_AFTER_MICROS);
         }
     }
 }
--- a/src/main/java/gorsemast/cache/FetchInvariants.java
+++ b/src/main/java/gorsemast/cache/FetchInvariants.java
@@ -22,12 +22,12 @@
     private final long[] counts = new long[Violation.values().length];
 
     /** It was violated once more. */
-    void violated(Violation what) {
+    void record(Violation what) {
         counts[what.ordinal()]++;
     }
 
     /** How often it was violated since the start. */
-    public long of(Violation what) {
+    public long count(Violation what) {
         return counts[what.ordinal()];
     }
 
@@ -44,8 +44,8 @@
     public String describe() {
         StringJoiner words = new StringJoiner(", ");
         for (Violation what : Violation.values()) {
-            if (of(what) > 0) {
-                words.add(what.name().toLowerCase(Locale.ROOT).replace('_', ' ') + ' ' + of(what));
+            if (count(what) > 0) {
+                words.add(what.name().toLowerCase(Locale.ROOT).replace('_', ' ') + ' ' + count(what));
             }
         }
         return words.toString();
--- a/src/main/java/gorsemast/cache/HomeAnswer.java
+++ b/src/main/java/gorsemast/cache/HomeResponseListener.java
@@ -5,22 +5,22 @@
  *
  * @param <A> an answer that is no copy
  */
-public interface HomeAnswer<A> {
+public interface HomeResponseListener<A> {
     /** A copy that may be held here as well. */
-    void copy(Copy copy);
+    void copy(CachedResponse copy);
 
     /** An answer that is no copy; only lent. */
-    void other(A answer);
+    void onUncacheable(A answer);
 
     /** It is not to be had there now: come back then. */
-    void refused(long retryAfterMicros);
+    void onRefused(long retryAfterMicros);
 
     /** It answered, with nothing to go by. */
-    void useless();
+    void onUnusable();
 
     /** It is still fetching the object. */
-    void inHand();
+    void onStillFetching();
 
     /** It did not answer in time; {@code ours} where that was this edge's own doing. */
-    void silent(boolean ours);
+    void onSilent(boolean ours);
 }
--- a/src/main/java/gorsemast/cache/Homes.java
+++ b/src/main/java/gorsemast/cache/HomeSelector.java
@@ -13,16 +13,16 @@
  * service's objects. One that has just failed to answer is passed over for a while, by this edge alone. O(edges) a key.
  * Times in microseconds; one thread.
  */
-public final class Homes {
+public final class HomeSelector {
     /** For so long one that failed is passed over; doubled at each failure in a row. */
-    static final long SHORTEST_MICROS = 500_000;
+    static final long MIN_SKIP_MICROS = 500_000;
 
-    static final long LONGEST_MICROS = 4_000_000;
+    static final long MAX_SKIP_MICROS = 4_000_000;
 
     private static final class Away {
         private long until;
         private long failedAt;
-        private long span = SHORTEST_MICROS;
+        private long span = MIN_SKIP_MICROS;
     }
 
     private record Edge(String ip, String zone, long hash) {}
@@ -30,12 +30,12 @@
     /**
      * Where this edge stands among those that share what a service's servers bear.
      *
-     * @param all whether all edges fetch its objects
-     * @param fetches whether this edge does
+     * @param allFetch whether all edges fetch its objects
+     * @param isFetcher whether this edge does
      * @param index its place, from 0 on, among those that do, or among those that don't
      * @param count how many those are
      */
-    public record Place(boolean all, boolean fetches, int index, int count) {}
+    public record SharePosition(boolean allFetch, boolean isFetcher, int index, int count) {}
 
     private final String self;
     private final long selfHash;
@@ -45,7 +45,7 @@
     /** The edges that fetch a service's objects, where these are not all. */
     private final Map<String, Set<String>> fetchers = new HashMap<>();
 
-    private final Map<String, Place> places = new HashMap<>();
+    private final Map<String, SharePosition> places = new HashMap<>();
 
     private final Map<String, Away> away = new HashMap<>();
     /** When each edge has last answered. */
@@ -54,14 +54,14 @@
     private boolean passedOver;
 
     /** Of the edge with this address. */
-    public Homes(String self, String zone) {
+    public HomeSelector(String self, String zone) {
         this.self = self;
         this.selfHash = Hash.of(self);
         this.zone = zone;
     }
 
     /** All edges that are up, with their zones. */
-    public void edges(Map<String, String> up) {
+    public void updateEdges(Map<String, String> up) {
         if (up.equals(zones)) {
             return;
         }
@@ -76,13 +76,13 @@
     }
 
     /** How many there are, this one among them. */
-    public int count() {
+    public int edgeCount() {
         return Math.max(1, zones.containsKey(self) ? zones.size() : zones.size() + 1);
     }
 
     /** Whether this edge is one of the {@code many} that fetch a service's objects. */
-    public boolean fetches(String service, int many) {
-        return many >= count() || fetchers(service, many).contains(self);
+    public boolean isFetcher(String service, int many) {
+        return many >= edgeCount() || fetchers(service, many).contains(self);
     }
 
     private List<String> ranked(String service) {
@@ -93,7 +93,7 @@
 
     private Set<String> fetchers(String service, int many) {
         Set<String> known = fetchers.get(service);
-        if (known == null || known.size() != Math.min(many, count())) {
+        if (known == null || known.size() != Math.min(many, edgeCount())) {
             List<String> all = ranked(service);
             known = new HashSet<>(all.subList(0, Math.min(many, all.size())));
             fetchers.put(service, known);
@@ -102,20 +102,20 @@
     }
 
     /** Where this edge stands where {@code many} edges fetch a service's objects; edges that know the same agree. */
-    public Place place(String service, int many) {
-        int edges = count();
+    public SharePosition sharePosition(String service, int many) {
+        int edges = edgeCount();
         int some = Math.max(1, Math.min(many, edges));
-        Place known = places.get(service);
+        SharePosition known = places.get(service);
         boolean same = known != null
-                && (known.all()
+                && (known.allFetch()
                         ? some == edges
-                        : known.fetches() ? known.count() == some : known.count() == edges - some);
+                        : known.isFetcher() ? known.count() == some : known.count() == edges - some);
         if (!same) {
             int index = ranked(service).indexOf(self);
             boolean fetches = index < some;
             known = fetches
-                    ? new Place(some == edges, true, index, some)
-                    : new Place(false, false, index - some, edges - some);
+                    ? new SharePosition(some == edges, true, index, some)
+                    : new SharePosition(false, false, index - some, edges - some);
             places.put(service, known);
         }
         return known;
@@ -126,13 +126,13 @@
      *
      * @param zoned whether each zone has a home of its own: fewer bytes between zones, more fetches
      */
-    public String of(long now, String key, boolean zoned) {
-        return of(now, key, zoned, "", Integer.MAX_VALUE);
+    public String homeOf(long now, String key, boolean zoned) {
+        return homeOf(now, key, zoned, "", Integer.MAX_VALUE);
     }
 
     /** The same out of the {@code many} edges that fetch a service's objects. */
-    public String of(long now, String key, boolean zoned, String service, int many) {
-        Set<String> some = many >= count() ? null : fetchers(service, many);
+    public String homeOf(long now, String key, boolean zoned, String service, int many) {
+        Set<String> some = many >= edgeCount() ? null : fetchers(service, many);
         long name = Hash.of(key);
         String best = self;
         long rank = some == null || some.contains(self) ? Hash.rank(name, selfHash) : Long.MIN_VALUE;
@@ -143,7 +143,7 @@
                     && (!zoned || zone.equals(edge.zone))
                     && (some == null || some.contains(edge.ip))
                     && !edge.ip.equals(self)) {
-                if (passesOver(now, edge.ip)) {
+                if (isSkipped(now, edge.ip)) {
                     passedRank = Math.max(passedRank, other);
                 } else {
                     best = edge.ip;
@@ -161,12 +161,12 @@
     }
 
     /** Whether one that ranked higher was passed over when a home was last asked for. */
-    public boolean passedOver() {
+    public boolean skippedHigherRanked() {
         return passedOver;
     }
 
     /** Whether an edge is passed over now. */
-    boolean passesOver(long now, String edge) {
+    boolean isSkipped(long now, String edge) {
         Away one = away.get(edge);
         return one != null && now < one.until;
     }
@@ -175,7 +175,7 @@
      * It did not answer what it was asked at {@code asked}; false, and nothing follows, where it has answered something else since:
      * it is slow, and not silent.
      */
-    public boolean failed(long now, String edge, long asked) {
+    public boolean recordFailure(long now, String edge, long asked) {
         Long answered = answeredAt.get(edge);
         if (answered != null && answered > asked) {
             return false;
@@ -186,7 +186,7 @@
             one.until = now + one.span;
             away.put(edge, one);
         } else if (now - one.failedAt > one.span / 2) { // not another one of the same silence
-            one.span = Math.min(LONGEST_MICROS, 2 * one.span);
+            one.span = Math.min(MAX_SKIP_MICROS, 2 * one.span);
             one.until = now + one.span;
         }
         one.failedAt = now;
@@ -194,7 +194,7 @@
     }
 
     /** It did. */
-    public void answered(long now, String edge) {
+    public void recordAnswer(long now, String edge) {
         away.remove(edge);
         answeredAt.put(edge, now);
     }
--- a/src/main/java/gorsemast/cache/HotObjects.java
+++ b/src/main/java/gorsemast/cache/HotObjectTracker.java
@@ -15,7 +15,7 @@
  * <p><b>Could hurt</b> where an object is popular at few edges only: it is fetched more often than it need be. O(1) a call; the objects
  * asked for last are remembered. No clock, no I/O; one thread; times in microseconds.
  */
-final class HotObjects {
+final class HotObjectTracker {
     private static final double PART_OF_LINK = 0.125;
     private static final int MOST_HOMES = 8;
     /** A home for fewer edges than this spares nothing. */
@@ -44,12 +44,12 @@
     };
 
     /** @param linkBytes that an edge's link carries a second; infinite where that is no bound */
-    HotObjects(double linkBytes) {
+    HotObjectTracker(double linkBytes) {
         this.linkBytes = linkBytes;
     }
 
     /** A client has asked for an object that lives so long. */
-    void asked(long now, String key, long lifeMicros) {
+    void recordRequest(long now, String key, long lifeMicros) {
         if (Double.isInfinite(linkBytes)) {
             return;
         }
@@ -64,7 +64,7 @@
     }
 
     /** A copy of it has so many bytes. */
-    void copied(String key, int bytes) {
+    void recordSize(String key, int bytes) {
         Interest interest = interests.get(key);
         if (interest != null) {
             interest.bytes = bytes;
@@ -72,7 +72,7 @@
     }
 
     /** How many homes an object has that lives so long, among so many edges. */
-    int homes(String key, long lifeMicros, int edges) {
+    int homeCount(String key, long lifeMicros, int edges) {
         Interest interest = interests.get(key);
         boolean hot = interest != null && (interest.before > 0 || interest.now > 1);
         if (!hot || lifeMicros <= 0) {
--- a/src/main/java/gorsemast/cache/WantedObject.java
+++ b/src/main/java/gorsemast/cache/ObjectRequest.java
@@ -8,10 +8,10 @@
  * @param host in lower case
  * @param uri with its query
  */
-public record WantedObject(Route route, String host, String uri) {
+public record ObjectRequest(Route route, String host, String uri) {
     /** What it is held under. */
     public String key() {
-        return CopyCache.key(host, uri);
+        return ResponseCache.key(host, uri);
     }
 
     /** The service whose objects it is one of. */
--- a/src/main/java/gorsemast/cache/OriginRights.java
+++ b/src/main/java/gorsemast/cache/OriginPermits.java
@@ -18,7 +18,7 @@
  * <p><b>Could hurt</b> where edges disagree on who is there: parts then sum up to a little more or less. O(edges log edges) when
  * edges change, else O(1). One thread; times in microseconds.
  */
-public final class OriginRights {
+public final class OriginPermits {
     /** Of what servers bear, so much is sent: the rest is for what is seen otherwise at the servers than here. */
     private static final double SPENT = 0.95;
     /** Where nearly no edge fetches for all, the others have so much of what is sent; the more fetch, the less the others need. */
@@ -27,38 +27,38 @@
     private static final double MICROS = 1e6;
 
     private final LongSupplier clock;
-    private final Homes homes;
+    private final HomeSelector homes;
     private final ToDoubleFunction<String> perSecond;
     private final ToIntFunction<String> fetchers;
     private final long window;
     private final long begun;
-    private final Map<String, Ceiling> ceilings = new HashMap<>();
-    private final Map<String, GrowingPart> parts = new HashMap<>();
+    private final Map<String, SlidingWindowLimiter> ceilings = new HashMap<>();
+    private final Map<String, SlowGrowingShare> parts = new HashMap<>();
     private int open;
 
     /** One right that has been taken; it is settled once. */
-    public final class Right {
+    public final class Permit {
         /** Null where the servers have no bound. */
-        private final Ceiling ceiling;
+        private final SlidingWindowLimiter ceiling;
 
         private final long step;
         private boolean settled;
 
-        private Right(Ceiling ceiling, long step) {
+        private Permit(SlidingWindowLimiter ceiling, long step) {
             this.ceiling = ceiling;
             this.step = step;
             open++;
         }
 
         /** A server may have got what it was taken for. */
-        public void used() {
+        public void markUsed() {
             settle();
         }
 
         /** Nothing was sent for it. */
-        public void giveBack() {
+        public void release() {
             if (settle() && ceiling != null) {
-                ceiling.giveBack(step);
+                ceiling.release(step);
             }
         }
 
@@ -77,9 +77,9 @@
      * @param perSecond what a service's servers bear from all edges; infinite where they have no bound
      * @param fetchers how many edges fetch a service's objects
      */
-    public OriginRights(
+    public OriginPermits(
             LongSupplier clock,
-            Homes homes,
+            HomeSelector homes,
             long window,
             ToDoubleFunction<String> perSecond,
             ToIntFunction<String> fetchers) {
@@ -92,34 +92,36 @@
     }
 
     /** What all edges together may send in one window to servers that bear so many a second. */
-    static double whole(double perSecond, long window) {
+    static double permitsPerWindow(double perSecond, long window) {
         return SPENT * perSecond * window / MICROS;
     }
 
-    /** How many of {@code whole} rights the one with this index has, out of {@code count} that share them: they sum up to all. */
-    static long dealt(long whole, int index, int count) {
+    /** How many of {@code permitsPerWindow} rights the one with this index has, out of {@code count} that share them: they sum up to all. */
+    static long shareOf(long whole, int index, int count) {
         return whole * (index + 1) / count - whole * index / count;
     }
 
     /** This edge's rights in one window; more than before only once that has held for a window. */
-    long part(String service) {
-        return parts.computeIfAbsent(service, name -> new GrowingPart(window))
-                .of(clock.getAsLong(), partByRank(service));
+    long permitShare(String service) {
+        return parts.computeIfAbsent(service, name -> new SlowGrowingShare(window))
+                .update(clock.getAsLong(), partByRank(service));
     }
 
     private long partByRank(String service) {
-        long whole = Math.max(1, (long) whole(perSecond.applyAsDouble(service), window));
-        Homes.Place place = homes.place(service, fetchers.applyAsInt(service));
-        if (place.all()) {
-            return dealt(whole, place.index(), place.count());
+        long whole = Math.max(1, (long) permitsPerWindow(perSecond.applyAsDouble(service), window));
+        HomeSelector.SharePosition place = homes.sharePosition(service, fetchers.applyAsInt(service));
+        if (place.allFetch()) {
+            return shareOf(whole, place.index(), place.count());
         }
-        double others = OTHERS_PART * (place.fetches() ? homes.count() - place.count() : place.count()) / homes.count();
+        double others = OTHERS_PART
+                * (place.isFetcher() ? homes.edgeCount() - place.count() : place.count())
+                / homes.edgeCount();
         long ofFetchers = Math.max(1, (long) ((1 - others) * whole));
-        return dealt(place.fetches() ? ofFetchers : whole - ofFetchers, place.index(), place.count());
+        return shareOf(place.isFetcher() ? ofFetchers : whole - ofFetchers, place.index(), place.count());
     }
 
-    private Ceiling ceiling(String service) {
-        return ceilings.computeIfAbsent(service, name -> new Ceiling(window, begun));
+    private SlidingWindowLimiter ceiling(String service) {
+        return ceilings.computeIfAbsent(service, name -> new SlidingWindowLimiter(window, begun));
     }
 
     /**
@@ -127,22 +129,22 @@
      *
      * @param ahead whether nobody waits for what is asked for
      */
-    public Right take(String service, boolean ahead) {
+    public Permit tryAcquire(String service, boolean ahead) {
         if (Double.isInfinite(perSecond.applyAsDouble(service))) {
-            return new Right(null, 0);
+            return new Permit(null, 0);
         }
-        Ceiling ceiling = ceiling(service);
+        SlidingWindowLimiter ceiling = ceiling(service);
         long now = clock.getAsLong();
-        return ceiling.take(now, part(service), ahead) ? new Right(ceiling, ceiling.step(now)) : null;
+        return ceiling.tryAcquire(now, permitShare(service), ahead) ? new Permit(ceiling, ceiling.stepOf(now)) : null;
     }
 
     /** How many are taken and neither used nor given back yet. */
-    public int open() {
+    public int outstanding() {
         return open;
     }
 
     /** How long until there will be a right again, if no other is taken. */
-    public long roomIn(String service) {
-        return ceiling(service).roomIn(clock.getAsLong(), part(service));
+    public long microsUntilAvailable(String service) {
+        return ceiling(service).microsUntilAvailable(clock.getAsLong(), permitShare(service));
     }
 }
--- a/src/main/java/gorsemast/cache/CopyCache.java
+++ b/src/main/java/gorsemast/cache/ResponseCache.java
@@ -1,6 +1,6 @@
 package gorsemast.cache;
 
-import gorsemast.gossip.PurgeNews;
+import gorsemast.gossip.PurgeRequest;
 import java.util.ArrayDeque;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
@@ -13,24 +13,24 @@
  * answer may be on its way that was asked for before the purge, each purge gets a number, and what was asked for under a
  * lower one is held against all purges since ({@link #purgedSince}) before it is put here.
  *
- * <p><b>Bounds.</b> {@code most} bytes, {@link #PURGES} purges. O(1) but for purges and {@link #sweep}, which look at
+ * <p><b>Bounds.</b> {@code most} bytes, {@link #PURGES} purges. O(1) but for purges and {@link #removeExpired}, which look at
  * all that is held. One thread; times in microseconds.
  */
-public final class CopyCache {
+public final class ResponseCache {
     private static final int PURGES = 4_096;
     /** A copy of more than this part of all room is not held. */
     private static final int LARGEST_PART = 8;
 
-    private record Numbered(long number, PurgeNews purge) {}
+    private record Numbered(long number, PurgeRequest purge) {}
 
-    private final LinkedHashMap<String, Copy> copies = new LinkedHashMap<>(16, 0.75f, true);
+    private final LinkedHashMap<String, CachedResponse> copies = new LinkedHashMap<>(16, 0.75f, true);
     private final ArrayDeque<Numbered> purges = new ArrayDeque<>();
     private final long most;
     private long bytes;
     private long number;
 
     /** With room for so many bytes. */
-    public CopyCache(long most) {
+    public ResponseCache(long most) {
         this.most = most;
     }
 
@@ -40,27 +40,27 @@
     }
 
     /** A copy that may be served now; null for none. */
-    public Copy get(long now, String key, long routeTtl) {
-        Copy copy = copies.get(key);
-        return copy != null && copy.fresh(now, routeTtl) ? copy : null;
+    public CachedResponse getFresh(long now, String key, long routeTtl) {
+        CachedResponse copy = copies.get(key);
+        return copy != null && copy.isFresh(now, routeTtl) ? copy : null;
     }
 
     /** A copy whether it may be served or not; null for none. */
-    public Copy held(String key) {
+    public CachedResponse peek(String key) {
         return copies.get(key);
     }
 
     /** Holds a copy from now on; returns how many others gave way to it. */
-    public int put(String key, Copy copy) {
-        if (copy.weight() > most / LARGEST_PART) {
+    public int put(String key, CachedResponse copy) {
+        if (copy.weightBytes() > most / LARGEST_PART) {
             return 0;
         }
-        Copy before = copies.put(key, copy);
-        bytes += copy.weight() - (before == null ? 0 : before.weight());
-        Iterator<Copy> eldest = copies.values().iterator();
+        CachedResponse before = copies.put(key, copy);
+        bytes += copy.weightBytes() - (before == null ? 0 : before.weightBytes());
+        Iterator<CachedResponse> eldest = copies.values().iterator();
         int evicted = 0;
         while (bytes > most && eldest.hasNext()) {
-            bytes -= eldest.next().weight();
+            bytes -= eldest.next().weightBytes();
             eldest.remove();
             evicted++;
         }
@@ -68,33 +68,33 @@
     }
 
     /** The number of the last purge: what is asked for now has it. */
-    public long number() {
+    public long lastPurgeNumber() {
         return number;
     }
 
     /** Takes away what a purge names. */
-    public void purge(PurgeNews purge) {
+    public void purge(PurgeRequest purge) {
         purges.add(new Numbered(++number, purge));
         if (purges.size() > PURGES) {
             purges.poll();
         }
-        Iterator<Map.Entry<String, Copy>> all = copies.entrySet().iterator();
+        Iterator<Map.Entry<String, CachedResponse>> all = copies.entrySet().iterator();
         while (all.hasNext()) {
-            Map.Entry<String, Copy> entry = all.next();
-            if (names(purge, entry.getKey(), entry.getValue())) {
-                bytes -= entry.getValue().weight();
+            Map.Entry<String, CachedResponse> entry = all.next();
+            if (matches(purge, entry.getKey(), entry.getValue())) {
+                bytes -= entry.getValue().weightBytes();
                 all.remove();
             }
         }
     }
 
     /** Whether a purge names an object, by its path without the query or by a tag of the copy. */
-    public static boolean names(PurgeNews purge, String key, Copy copy) {
-        return purge.tag().isEmpty() ? path(purge, key) : copy.tags().contains(purge.tag());
+    public static boolean matches(PurgeRequest purge, String key, CachedResponse copy) {
+        return purge.tag().isEmpty() ? matchesPath(purge, key) : copy.tags().contains(purge.tag());
     }
 
     /** Whether it names it by its path. */
-    public static boolean path(PurgeNews purge, String key) {
+    public static boolean matchesPath(PurgeRequest purge, String key) {
         if (!purge.tag().isEmpty()) {
             return false;
         }
@@ -108,7 +108,7 @@
     }
 
     /** Whether this copy, asked for under {@code since}, is named by a later purge, or may be. */
-    public boolean purgedSince(long since, String key, Copy copy) {
+    public boolean purgedSince(long since, String key, CachedResponse copy) {
         if (since < number - PURGES) {
             return true;
         }
@@ -118,7 +118,7 @@
             if (one.number <= since) {
                 return false;
             }
-            if (names(one.purge, key, copy)) {
+            if (matches(one.purge, key, copy)) {
                 return true;
             }
         }
@@ -126,10 +126,10 @@
     }
 
     /** Lets go of what may not be served any more. */
-    public void sweep(long now) {
+    public void removeExpired(long now) {
         copies.values().removeIf(copy -> {
-            boolean over = !copy.fresh(now, Long.MAX_VALUE);
-            bytes -= over ? copy.weight() : 0;
+            boolean over = !copy.isFresh(now, Long.MAX_VALUE);
+            bytes -= over ? copy.weightBytes() : 0;
             return over;
         });
     }
--- a/src/main/java/gorsemast/cache/Patience.java
+++ b/src/main/java/gorsemast/cache/ResponseTimeoutEstimator.java
@@ -6,9 +6,9 @@
  * another edge to fetch says nothing for two more ways, so there the bounds follow what an answer may take to be of use: too
  * short a wait sends every miss to a second home, which has it fetched again. O(1); one thread; times in microseconds.
  */
-public final class Patience {
-    static final long LEAST_MICROS = 120_000;
-    static final long MOST_MICROS = 500_000;
+public final class ResponseTimeoutEstimator {
+    static final long MIN_MICROS = 120_000;
+    static final long MAX_MICROS = 500_000;
     private static final double LEAST_OF_AIM = 1.2;
     private static final double MOST_OF_AIM = 1.5;
     private static final double GAIN = 0.125;
@@ -18,15 +18,15 @@
     private double deviation = 30_000;
 
     /** An answer took so long. */
-    public void answered(long elapsed) {
+    public void recordResponse(long elapsed) {
         deviation += GAIN * (Math.abs(elapsed - mean) - deviation);
         mean += GAIN * (elapsed - mean);
     }
 
     /** How long the next one may take where homes ask others to fetch and it is wanted within {@code aim}; 0 where they don't. */
-    public long micros(long aim) {
-        double least = Math.max(LEAST_MICROS, LEAST_OF_AIM * aim);
-        double most = Math.max(MOST_MICROS, MOST_OF_AIM * aim);
+    public long timeoutMicros(long aim) {
+        double least = Math.max(MIN_MICROS, LEAST_OF_AIM * aim);
+        double most = Math.max(MAX_MICROS, MOST_OF_AIM * aim);
         return (long) Math.max(least, Math.min(most, mean + DEVIATIONS * deviation));
     }
 }
--- a/src/main/java/gorsemast/cache/ServerAnswer.java
+++ b/src/main/java/gorsemast/cache/ServerResponseListener.java
@@ -5,22 +5,22 @@
  *
  * @param <A> an answer that is no copy
  */
-public interface ServerAnswer<A> {
+public interface ServerResponseListener<A> {
     /** A server's whole answer. */
-    void copy(Copy copy);
+    void copy(CachedResponse copy);
 
     /** An answer that is no copy; only lent. */
-    void other(A answer);
+    void onUncacheable(A answer);
 
     /** Something was sent, and was turned away. */
-    void refused(long retryAfterMicros);
+    void onRefused(long retryAfterMicros);
 
     /** Refused or failed before anything was sent. */
-    void notSent(long retryAfterMicros);
+    void onNotSent(long retryAfterMicros);
 
     /** Something was sent, and nothing came of it. */
-    void failed();
+    void onFailed();
 
     /** A server's answer is too long to be held. */
-    void tooLong();
+    void onTooLong();
 }
--- a/src/main/java/gorsemast/cache/Ceiling.java
+++ b/src/main/java/gorsemast/cache/SlidingWindowLimiter.java
@@ -13,7 +13,7 @@
  * out of the step in which it was taken. O(1); one
  * thread; times in microseconds.
  */
-public final class Ceiling {
+public final class SlidingWindowLimiter {
     private static final int STEPS = 10;
     private static final double AHEAD = 0.5;
     /** Of the window's part, so much may go out in one step: once and a half of an even one. */
@@ -26,7 +26,7 @@
     private long step = Long.MIN_VALUE;
 
     /** Over windows of this length, in a process that began then. */
-    public Ceiling(long windowMicros, long begun) {
+    public SlidingWindowLimiter(long windowMicros, long begun) {
         this.windowMicros = windowMicros;
         this.stepMicros = Math.max(1, windowMicros / STEPS);
         this.begunStep = Math.floorDiv(begun, stepMicros);
@@ -37,12 +37,12 @@
     }
 
     /** The step that a time falls into. */
-    long step(long now) {
+    long stepOf(long now) {
         return Math.floorDiv(now, stepMicros);
     }
 
     private void move(long now, double most) {
-        long at = step(now);
+        long at = stepOf(now);
         if (step == Long.MIN_VALUE) {
             for (long s = at - STEPS; s < at; s++) {
                 counts[place(s)] = s < begunStep && most > 1 ? most / STEPS : 0;
@@ -70,7 +70,7 @@
      * @param most what this edge may send in one window
      * @param ahead whether nobody waits for it
      */
-    public boolean take(long now, double most, boolean ahead) {
+    public boolean tryAcquire(long now, double most, boolean ahead) {
         move(now, most);
         boolean full = sum() + 1 > (ahead ? Math.min(most, Math.max(1, most * AHEAD)) : most);
         if (full || counts[place(step)] + 1 > Math.max(1, STEP_PART * most)) {
@@ -81,14 +81,14 @@
     }
 
     /** What was taken in that step was not used. */
-    public void giveBack(long taken) {
+    public void release(long taken) {
         if (taken > step - counts.length && counts[place(taken)] >= 1) {
             counts[place(taken)]--;
         }
     }
 
     /** How long until there is room for one more of so many in a window, if nothing else goes out. */
-    public long roomIn(long now, double most) {
+    public long microsUntilAvailable(long now, double most) {
         move(now, most);
         if (most < 1) {
             return windowMicros;
--- a/src/main/java/gorsemast/cache/GrowingPart.java
+++ b/src/main/java/gorsemast/cache/SlowGrowingShare.java
@@ -5,7 +5,7 @@
  * parts of those who are there and what was spent lately by those who are gone never sum up to more than the bound. O(1); one
  * thread; times in microseconds.
  */
-final class GrowingPart {
+final class SlowGrowingShare {
     private static final long NEVER = Long.MIN_VALUE;
 
     private final long span;
@@ -14,12 +14,12 @@
     private long since = NEVER;
 
     /** @param span over which spending counts */
-    GrowingPart(long span) {
+    SlowGrowingShare(long span) {
         this.span = span;
     }
 
     /** The part now, of one that is entitled to so much by who is there now. */
-    long of(long now, long entitled) {
+    long update(long now, long entitled) {
         if (entitled <= part) {
             part = entitled;
             since = NEVER;
--- a/src/main/java/gorsemast/command/Check.java
+++ b/src/main/java/gorsemast/command/Check.java
@@ -41,7 +41,7 @@
             if (name.endsWith(".yaml") || name.endsWith(".yml")) {
                 Settings settings = Settings.read(file);
                 System.out.println(file + ": good; " + settings.name() + " in " + settings.zone() + ", listens for "
-                        + settings.listens().keySet());
+                        + settings.listenAddresses().keySet());
                 return Gorsemast.DONE;
             }
             if (name.endsWith(".json")) {
--- a/src/main/java/gorsemast/configuration/Configuration.java
+++ b/src/main/java/gorsemast/configuration/Configuration.java
@@ -67,7 +67,7 @@
         Map<String, List<Route>> routes = new HashMap<>();
         for (Object entry : list("virtualHosts", root.get("virtualHosts"))) {
             Map<String, Object> host = object("virtualHosts", entry);
-            String name = host(text("virtualHosts.hostname", host.get("hostname")));
+            String name = normalizeHost(text("virtualHosts.hostname", host.get("hostname")));
             List<Route> of = routes.computeIfAbsent(name, n -> new ArrayList<>());
             Set<String> places = new HashSet<>();
             of.forEach(route -> places.add(route.prefix()));
@@ -128,7 +128,7 @@
                     case "non_idempotent" -> Route.Kind.NON_IDEMPOTENT;
                     default -> throw new ConfigurationException(Code.WRONG_TYPE, name + ".routeType", "is not known");
                 };
-        List<Route.Weighted> to = new ArrayList<>();
+        List<Route.WeightedService> to = new ArrayList<>();
         if (rule.get("weightedBackends") != null) {
             double sum = 0;
             for (Object entry : list(name + ".weightedBackends", rule.get("weightedBackends"))) {
@@ -138,15 +138,16 @@
                     throw new ConfigurationException(Code.BELOW_ZERO, name, "has a weight below 0");
                 }
                 sum += weight;
-                to.add(new Route.Weighted(text(name + ".weightedBackends.backend", part.get("backend")), weight));
+                to.add(new Route.WeightedService(
+                        text(name + ".weightedBackends.backend", part.get("backend")), weight));
             }
             if (!(sum > 0) || Double.isInfinite(sum)) {
                 throw new ConfigurationException(Code.NO_WEIGHT, name, "has weights that total 0");
             }
         } else {
-            to.add(new Route.Weighted(text(name + ".backend", rule.get("backend")), 1));
+            to.add(new Route.WeightedService(text(name + ".backend", rule.get("backend")), 1));
         }
-        for (Route.Weighted part : to) {
+        for (Route.WeightedService part : to) {
             if (!services.containsKey(part.service())) {
                 throw new ConfigurationException(
                         Code.UNKNOWN_SERVICE, name, "names the unknown service " + part.service());
@@ -203,7 +204,7 @@
     }
 
     /** All routes that lead to each service; a new map. */
-    public Map<String, List<Route>> byService() {
+    public Map<String, List<Route>> routesByService() {
         Map<String, List<Route>> by = new LinkedHashMap<>();
         routes.values()
                 .forEach(of -> of.forEach(route -> route.services()
@@ -213,7 +214,7 @@
     }
 
     /** A host as it is looked up: in lower case, without a port. */
-    public static String host(String told) {
+    public static String normalizeHost(String told) {
         int colon = told.lastIndexOf(':');
         String bare = colon > 0 && colon > told.lastIndexOf(']') ? told.substring(0, colon) : told;
         return bare.toLowerCase(Locale.ROOT);
--- a/src/main/java/gorsemast/configuration/Route.java
+++ b/src/main/java/gorsemast/configuration/Route.java
@@ -8,7 +8,7 @@
  * @param host in lower case, without a port
  * @param prefix begins and ends with a slash
  * @param timeoutMicros how long the operator wants a request held at most
- * @param aimMicros within which an answer earns its full worth
+ * @param targetLatencyMicros within which an answer earns its full worth
  * @param priority 0 is highest
  * @param services where its requests go, by weight; at least one weight is above 0
  * @param maxAttempts to so many servers one try may be sent
@@ -20,9 +20,9 @@
         String prefix,
         Kind kind,
         long timeoutMicros,
-        long aimMicros,
+        long targetLatencyMicros,
         int priority,
-        List<Weighted> services,
+        List<WeightedService> services,
         int maxAttempts,
         long ttlMicros) {
     /** What a repetition of a request does. */
@@ -33,22 +33,22 @@
     }
 
     /** A service and its weight. */
-    public record Weighted(String service, double weight) {}
+    public record WeightedService(String service, double weight) {}
 
     /** Whether a request may run more than once. */
-    public boolean repeatable() {
+    public boolean isRepeatable() {
         return kind != Kind.NON_IDEMPOTENT;
     }
 
     /** The service for a request, by a number in [0, 1). */
-    public String service(double drawn) {
+    public String selectService(double drawn) {
         double sum = 0;
-        for (Weighted one : services) {
+        for (WeightedService one : services) {
             sum += one.weight();
         }
         double at = drawn * sum;
         String last = null;
-        for (Weighted one : services) {
+        for (WeightedService one : services) {
             if (one.weight() > 0) {
                 last = one.service();
                 at -= one.weight();
--- a/src/main/java/gorsemast/dispatch/Call.java
+++ b/src/main/java/gorsemast/dispatch/Call.java
@@ -12,9 +12,9 @@
  * @param attemptId of this try
  * @param body one reference, the taker's
  * @param key the object it is about, which the module's table is of; null for none
- * @param arrival and {@code giveUp} in the loop's microseconds
- * @param keep so many bytes of its answer are kept whole; a longer one is passed on as it comes
- * @param counted whether its first attempt has room at the service's ceiling already
+ * @param arrivedAt and {@code deadline} in the loop's microseconds
+ * @param bufferLimit so many bytes of its answer are kept whole; a longer one is passed on as it comes
+ * @param permitTaken whether its first attempt has room at the service's ceiling already
  */
 public record Call(
         Route route,
@@ -24,7 +24,7 @@
         String attemptId,
         ByteBuf body,
         String key,
-        long arrival,
-        long giveUp,
-        int keep,
-        boolean counted) {}
+        long arrivedAt,
+        long deadline,
+        int bufferLimit,
+        boolean permitTaken) {}
--- a/src/main/java/gorsemast/dispatch/Hops.java
+++ b/src/main/java/gorsemast/dispatch/HopByHopHeaders.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Which headers concern one connection only (RFC 9110, 7.6.1) and are not passed on. No state; any thread. */
-public final class Hops {
+public final class HopByHopHeaders {
     private static final Set<String> OWN = Set.of(
             "connection",
             "keep-alive",
@@ -24,7 +24,7 @@
             "proxy-authenticate",
             "proxy-authorization");
 
-    private Hops() {}
+    private HopByHopHeaders() {}
 
     /** Whether this one stays behind; {@code named} are those that {@code Connection} names, in lower case. */
     private static boolean stays(String name, Set<String> named) {
@@ -43,7 +43,7 @@
     }
 
     /** Adds all but those; lengths are said anew by whoever sends them. */
-    public static void copy(HttpHeaders from, HttpHeaders to) {
+    public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
         Set<String> named = named(from);
         for (Iterator<Map.Entry<String, String>> all = from.iteratorAsString(); all.hasNext(); ) {
             Map.Entry<String, String> header = all.next();
--- a/src/main/java/gorsemast/dispatch/Briefing.java
+++ b/src/main/java/gorsemast/dispatch/ModuleConfiguration.java
@@ -2,7 +2,7 @@
 
 import anisebend.Balancer;
 import gorsemast.configuration.Route;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.ServerInfo;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -18,10 +18,10 @@
  *
  * <p>Routes become the module's classes; a class keeps its number for good, and a route that changes gets another. What
  * may be sent beyond each request's first attempt is this edge's part of the service's budget. A server weighs as much as
- * it has room, by its speed beside the others ({@link Speeds}), and for objects by how near it is. No I/O, no clock, no
+ * it has room, by its speed beside the others ({@link ServerSpeeds}), and for objects by how near it is. No I/O, no clock, no
  * threads; times in microseconds.
  */
-public final class Briefing {
+public final class ModuleConfiguration {
     /** Of the budget that the rules leave to all edges, so much is spent; the rest is for what they count otherwise. */
     private static final double SPENT_OF_BUDGET = 0.75;
     /** How slow a server is that says it is cold, until nothing else is known. */
@@ -36,16 +36,16 @@
     private static final double NEAR = 4;
 
     /** What bounds further attempts over all edges. */
-    public record Budget(double ratio, double slack, long window) {}
+    public record RetryBudget(double ratio, double slack, long windowMicros) {}
 
     private final String self;
     private final int ownConnections;
-    private final Budget budget;
+    private final RetryBudget budget;
     private final int zone;
     private final List<Balancer.RequestClass> classes = new ArrayList<>();
-    private final Speeds speeds = new Speeds();
+    private final ServerSpeeds speeds = new ServerSpeeds();
     private final Map<String, Balancer.Server> entries = new LinkedHashMap<>();
-    private Map<String, Server> servers = Map.of();
+    private Map<String, ServerInstance> servers = Map.of();
     private int mostConnections = Integer.MAX_VALUE;
     private int users;
     private int part = Integer.MAX_VALUE;
@@ -59,7 +59,8 @@
      *
      * @param ownConnections to this service's servers that it may have
      */
-    public Briefing(String self, int ownConnections, Budget budget, int zone, List<Route> routes, int edges) {
+    public ModuleConfiguration(
+            String self, int ownConnections, RetryBudget budget, int zone, List<Route> routes, int edges) {
         this.self = self;
         this.ownConnections = ownConnections;
         this.budget = budget;
@@ -70,13 +71,13 @@
     }
 
     /** How many connections one server takes from all callers, and how many edges are those. */
-    public void shared(int connections, int sharedBy) {
+    public void setConnectionLimit(int connections, int sharedBy) {
         mostConnections = connections;
         users = Math.max(1, sharedBy);
     }
 
     /** How many connections this edge may have to each of its servers. */
-    public int part() {
+    public int connectionShare() {
         return part;
     }
 
@@ -102,15 +103,15 @@
                 COLD_MICROS,
                 budget.slack * part,
                 budget.ratio * SPENT_OF_BUDGET,
-                budget.window);
+                budget.windowMicros);
     }
 
     private static Balancer.RequestClass type(Route route) {
         return new Balancer.RequestClass(
-                route.repeatable() ? Balancer.Effect.SAFE : Balancer.Effect.UNSAFE,
+                route.isRepeatable() ? Balancer.Effect.SAFE : Balancer.Effect.UNSAFE,
                 Balancer.Group.ALL,
                 0,
-                Math.max(1, route.aimMicros()),
+                Math.max(1, route.targetLatencyMicros()),
                 Math.max(LEAST_DEADLINE, route.timeoutMicros()),
                 1.0 / (1 + Math.max(0, route.priority())));
     }
@@ -131,46 +132,49 @@
     }
 
     /** The routes that lead here, and by how many edges what is bounded over all is divided; whether anything changes. */
-    public boolean retune(List<Route> routes, int sharedBy) {
+    public boolean updateRoutes(List<Route> routes, int sharedBy) {
         boolean changed = learn(routes) || sharedBy != edges;
         edges = Math.max(1, sharedBy);
         return changed;
     }
 
     /** The class of a route; -1 where the module does not know it yet. */
-    public int number(Route route) {
+    public int classNumber(Route route) {
         return classes.indexOf(type(route));
     }
 
     /** Makes a class for a route of a version that has only just been replaced; the module is to be retuned then. */
-    public int add(Route route) {
+    public int addClass(Route route) {
         classes.add(type(route));
         return classes.size() - 1;
     }
 
     /** Who there is. What is silent is tried only where nobody else is there. Returns whom it knew before. */
-    public Map<String, Server> servers(
-            long now, Collection<ServerNews> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
-        boolean someReady = news.stream().anyMatch(one -> one.state() == ServerNews.State.READY);
+    public Map<String, ServerInstance> updateServers(
+            long now, Collection<ServerInfo> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
+        boolean someReady = news.stream().anyMatch(one -> one.state() == ServerInfo.State.READY);
         List<String> ready = news.stream()
-                .filter(one -> one.dial() != null
-                        && (one.state() == ServerNews.State.READY
-                                || !someReady && one.state() == ServerNews.State.SILENT))
-                .map(ServerNews::id)
+                .filter(one -> one.socketAddress() != null
+                        && (one.state() == ServerInfo.State.READY
+                                || !someReady && one.state() == ServerInfo.State.SILENT))
+                .map(ServerInfo::id)
                 .toList();
-        Crowd crowd = new Crowd(users, ready.size(), mostConnections, ownConnections);
-        Set<String> chosen = new HashSet<>(Crowd.chosen(self, ready, crowd.reach()));
-        part = crowd.part();
-        Map<String, Server> next = new HashMap<>();
+        EdgeSharing crowd = new EdgeSharing(users, ready.size(), mostConnections, ownConnections);
+        Set<String> chosen = new HashSet<>(EdgeSharing.chosenServers(self, ready, crowd.serverCount()));
+        part = crowd.connectionShare();
+        Map<String, ServerInstance> next = new HashMap<>();
         entries.clear();
-        for (ServerNews one : news) {
+        for (ServerInfo one : news) {
             boolean usable = chosen.contains(one.id());
-            if (one.state() == ServerNews.State.GONE || one.dial() == null) {
+            if (one.state() == ServerInfo.State.GONE || one.socketAddress() == null) {
                 continue;
             }
             next.put(
                     one.id(),
-                    new Server(one.id(), one.dial(), usable ? ServerNews.State.READY : ServerNews.State.DRAINING));
+                    new ServerInstance(
+                            one.id(),
+                            one.socketAddress(),
+                            usable ? ServerInfo.State.READY : ServerInfo.State.DRAINING));
             Long cold = coldUntil.get(one.id());
             long started = cold == null || cold <= now ? 0 : cold - COLD_MICROS;
             entries.put(
@@ -184,25 +188,25 @@
                             Math.max(1e-3, one.capacity()),
                             Math.max(0, started)));
         }
-        Map<String, Server> before = servers;
+        Map<String, ServerInstance> before = servers;
         servers = next;
-        speeds.retain(next.keySet());
+        speeds.retainOnly(next.keySet());
         return before;
     }
 
     /** A server by its id; null where it is none or has left. */
-    public Server server(String id) {
+    public ServerInstance server(String id) {
         return servers.get(id);
     }
 
     /** Whether a server may be sent anything new. */
-    public boolean ready(String id) {
-        Server server = servers.get(id);
-        return server != null && server.state() == ServerNews.State.READY;
+    public boolean isReady(String id) {
+        ServerInstance server = servers.get(id);
+        return server != null && server.state() == ServerInfo.State.READY;
     }
 
     /** All servers with their weights; the module counts as told of them. */
-    public List<Balancer.Server> list(long now) {
+    public List<Balancer.Server> weightedServers(long now) {
         toldAt = now;
         List<Balancer.Server> list = new ArrayList<>();
         entries.values()
@@ -212,35 +216,35 @@
                         e.kind(),
                         e.cell(),
                         e.state(),
-                        e.weight() * speeds.factor(now, e.id()) * (objects && e.zone() == zone ? NEAR : 1),
+                        e.weight() * speeds.weightFactor(now, e.id()) * (objects && e.zone() == zone ? NEAR : 1),
                         e.startedAt())));
         return list;
     }
 
     /** A server has answered a route's request after so long; whether the module is to be told the list again. */
-    public boolean answered(long now, String id, Route route, long elapsed) {
-        speeds.answered(id, number(route), elapsed);
+    public boolean recordAnswer(long now, String id, Route route, long elapsed) {
+        speeds.recordAnswer(id, classNumber(route), elapsed);
         return outdated(now, id);
     }
 
     /** What all edges together have seen, of this service's servers among others; whether the module is to be told. */
-    public boolean heard(long now, Map<String, double[]> pooled) {
-        Map<String, Speeds.Seen> known = new HashMap<>();
+    public boolean applyPooledObservations(long now, Map<String, double[]> pooled) {
+        Map<String, ServerSpeeds.Observation> known = new HashMap<>();
         pooled.forEach((id, seen) -> {
             if (entries.containsKey(id)) {
-                known.put(id, new Speeds.Seen(seen[0], seen[1]));
+                known.put(id, new ServerSpeeds.Observation(seen[0], seen[1]));
             }
         });
-        speeds.heard(now, known);
+        speeds.applyPooled(now, known);
         return known.keySet().stream().anyMatch(id -> outdated(now, id));
     }
 
     private boolean outdated(long now, String id) {
-        return now - toldAt > SPEED_MICROS && speeds.changed(now, id);
+        return now - toldAt > SPEED_MICROS && speeds.hasChanged(now, id);
     }
 
     /** What was seen here of this service's servers, added to {@code to}, for other edges. */
-    public void seen(Map<String, double[]> to) {
-        speeds.own().forEach((id, seen) -> to.put(id, new double[] {seen.slowness(), seen.answers()}));
+    public void collectObservations(Map<String, double[]> to) {
+        speeds.ownObservations().forEach((id, seen) -> to.put(id, new double[] {seen.slowness(), seen.answers()}));
     }
 }
--- a/src/main/java/gorsemast/dispatch/Network.java
+++ b/src/main/java/gorsemast/dispatch/ServerDialect.java
@@ -3,7 +3,7 @@
 import anisebend.Balancer.Code;
 import gorsemast.http.Dialect;
 import gorsemast.http.KeepAlive;
-import gorsemast.http.Whose;
+import gorsemast.http.ResponseMatch;
 import io.netty.buffer.ByteBuf;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
@@ -16,20 +16,20 @@
  * What the delivery network and its servers say to each other above HTTP: whether a request has run is told by
  * {@code Not-Executed}, and whose an answer is by {@code Attempt-Id}.
  */
-public final class Network implements Dialect {
+public final class ServerDialect implements Dialect {
     /** The id of a client's try. */
-    public static final String ATTEMPT = "Attempt-Id";
+    public static final String ATTEMPT_ID = "Attempt-Id";
     /** Milliseconds that are left. */
-    public static final String BUDGET = "Time-Budget";
+    public static final String TIME_BUDGET = "Time-Budget";
     /** The life of a server that alone may run it. */
-    public static final String TARGET = "Target-Instance";
+    public static final String TARGET_INSTANCE = "Target-Instance";
     /** What a server's answer carries. */
-    public static final String SEAL = "Edge-Seal";
+    public static final String EDGE_SEAL = "Edge-Seal";
 
     /** A request on a route whose objects may be held. */
-    public static final class ObjectRead extends DefaultFullHttpRequest {
+    public static final class CacheableRequest extends DefaultFullHttpRequest {
         /** Owns the body. */
-        public ObjectRead(HttpMethod method, String uri, ByteBuf body) {
+        public CacheableRequest(HttpMethod method, String uri, ByteBuf body) {
             super(HttpVersion.HTTP_1_1, method, uri, body);
         }
     }
@@ -48,41 +48,41 @@
             return Code.FULL;
         }
         // A status that promises, without the word that it has not run, is a failure: it may have run.
-        return status >= FAILED || CallState.promises(status) ? Code.ERROR : Code.OK;
+        return status >= FAILED || CallState.promisesNotExecuted(status) ? Code.ERROR : Code.OK;
     }
 
     /** Every answer of a server carries its attempt's id, and a success the server's seal; what lacks them is none. */
     @Override
-    public Whose whose(HttpRequest request, HttpResponse answer) {
-        String told = answer.headers().get(ATTEMPT);
-        boolean sealed = answer.headers().contains(SEAL) || answer.status().codeClass() != HttpStatusClass.SUCCESS;
+    public ResponseMatch match(HttpRequest request, HttpResponse answer) {
+        String told = answer.headers().get(ATTEMPT_ID);
+        boolean sealed = answer.headers().contains(EDGE_SEAL) || answer.status().codeClass() != HttpStatusClass.SUCCESS;
         if (told == null) {
-            return alone(request) && sealed ? Whose.BY_PLACE : Whose.NOBODY;
+            return needsExclusiveConnection(request) && sealed ? ResponseMatch.BY_POSITION : ResponseMatch.UNIDENTIFIED;
         }
-        if (!told.equals(request.headers().get(ATTEMPT))) {
-            return Whose.OTHER;
+        if (!told.equals(request.headers().get(ATTEMPT_ID))) {
+            return ResponseMatch.OTHER_REQUEST;
         }
-        return sealed ? Whose.NAMED : Whose.NOBODY;
+        return sealed ? ResponseMatch.BY_ID : ResponseMatch.UNIDENTIFIED;
     }
 
     /** Servers of objects leave the id out of their answers, though the pages say that all answers carry it. */
     @Override
-    public boolean alone(HttpRequest request) {
-        return request instanceof ObjectRead;
+    public boolean needsExclusiveConnection(HttpRequest request) {
+        return request instanceof CacheableRequest;
     }
 
     @Override
-    public String name(HttpRequest request) {
-        return request.headers().get(ATTEMPT);
+    public String requestId(HttpRequest request) {
+        return request.headers().get(ATTEMPT_ID);
     }
 
     @Override
-    public long keepsMillis(HttpResponse answer) {
-        return KeepAlive.millis(answer.headers().get("Keep-Alive"));
+    public long keepAliveMillis(HttpResponse answer) {
+        return KeepAlive.timeoutMillis(answer.headers().get("Keep-Alive"));
     }
 
     @Override
-    public boolean forgets() {
+    public boolean mayDropIdleEarly() {
         return true;
     }
 }
--- a/src/main/java/gorsemast/dispatch/Speeds.java
+++ b/src/main/java/gorsemast/dispatch/ServerSpeeds.java
@@ -9,12 +9,12 @@
  *
  * <p><b>Idea.</b> An answer's time in parts of what all servers take for its class, smoothed; what waits in a server's queue
  * counts too, as it should. An edge alone sees a handful of answers a second, so what all edges have seen together is taken
- * in, by how much they have seen, at half the weight of what was seen here, and is forgotten after {@link #HEARD_MICROS}.
+ * in, by how much they have seen, at half the weight of what was seen here, and is forgotten after {@link #POOLED_VALID_MICROS}.
  *
  * <p><b>When it could hurt.</b> A server that was slow and is so no more gets little until it has been tried again.
  * O(1) for a server's weight; one thread; times in microseconds.
  */
-final class Speeds {
+final class ServerSpeeds {
     /** How much less a server gets that is slower than the others: this power of how many times it takes as long. */
     private static final double POWER = 3;
 
@@ -24,55 +24,56 @@
     /** So many answers' worth of what is known before anything is. */
     private static final double PRIOR = 2;
 
-    static final double MOST_SEEN = 20;
+    static final double MAX_OWN_ANSWERS = 20;
     private static final double OTHERS = 0.5;
     /** What all others have seen counts for no more than so many answers. */
-    static final double MOST_HEARD = 200;
+    static final double MAX_POOLED_ANSWERS = 200;
 
-    static final long HEARD_MICROS = 15_000_000;
+    static final long POOLED_VALID_MICROS = 15_000_000;
     /** Beyond this factor a change is worth telling the module of. */
     private static final double CHANGED = 1.1;
 
     /** What somebody has seen of a server. */
-    record Seen(double slowness, double answers) {}
+    record Observation(double slowness, double answers) {}
 
     private final Map<Integer, Double> usual = new HashMap<>();
-    private final Map<String, Seen> own = new HashMap<>();
-    private Map<String, Seen> all = Map.of();
+    private final Map<String, Observation> own = new HashMap<>();
+    private Map<String, Observation> all = Map.of();
     private long allAt;
     private final Map<String, Double> told = new HashMap<>();
 
     /** A server has answered a request of this class after so long. */
-    void answered(String server, int type, long elapsed) {
+    void recordAnswer(String server, int type, long elapsed) {
         double before = usual.getOrDefault(type, (double) elapsed);
         usual.put(type, before + STEP / 2 * (elapsed - before));
         double ratio = Math.max(LEAST, Math.min(MOST, elapsed / Math.max(1, before)));
-        Seen seen = own.getOrDefault(server, new Seen(1, 0));
+        Observation seen = own.getOrDefault(server, new Observation(1, 0));
         own.put(
                 server,
-                new Seen(seen.slowness + STEP * (ratio - seen.slowness), Math.min(MOST_SEEN, seen.answers + 1)));
+                new Observation(
+                        seen.slowness + STEP * (ratio - seen.slowness), Math.min(MAX_OWN_ANSWERS, seen.answers + 1)));
     }
 
     /** What all edges have seen together. */
-    void heard(long now, Map<String, Seen> pooled) {
+    void applyPooled(long now, Map<String, Observation> pooled) {
         all = new HashMap<>(pooled);
         all.values().removeIf(seen -> !Double.isFinite(seen.slowness) || !Double.isFinite(seen.answers));
         allAt = now;
     }
 
     /** What was seen here, for others. */
-    Map<String, Seen> own() {
+    Map<String, Observation> ownObservations() {
         return own;
     }
 
     /** How many times as long as usual it takes. */
     double slowness(long now, String server) {
-        Seen mine = own.getOrDefault(server, new Seen(1, 0));
+        Observation mine = own.getOrDefault(server, new Observation(1, 0));
         double weight = PRIOR + mine.answers;
         double sum = PRIOR + mine.slowness * mine.answers;
-        Seen pooled = all.get(server);
-        if (pooled != null && now - allAt < HEARD_MICROS) {
-            double part = OTHERS * Math.max(0, Math.min(MOST_HEARD, pooled.answers));
+        Observation pooled = all.get(server);
+        if (pooled != null && now - allAt < POOLED_VALID_MICROS) {
+            double part = OTHERS * Math.max(0, Math.min(MAX_POOLED_ANSWERS, pooled.answers));
             weight += part;
             sum += part * Math.max(LEAST, Math.min(MOST, pooled.slowness));
         }
@@ -80,21 +81,21 @@
     }
 
     /** By what its share is multiplied; the module counts as told of it. */
-    double factor(long now, String server) {
+    double weightFactor(long now, String server) {
         double slow = slowness(now, server);
         told.put(server, slow);
         return Math.pow(slow, -POWER);
     }
 
     /** Whether what the module was told of a server holds no more. */
-    boolean changed(long now, String server) {
+    boolean hasChanged(long now, String server) {
         double slow = slowness(now, server);
         double before = told.getOrDefault(server, 1.0);
         return slow > before * CHANGED || before > slow * CHANGED;
     }
 
     /** Forgets all but these servers. */
-    void retain(Collection<String> servers) {
+    void retainOnly(Collection<String> servers) {
         own.keySet().retainAll(servers);
         told.keySet().retainAll(servers);
     }
--- a/src/main/java/gorsemast/dispatch/Sender.java
+++ b/src/main/java/gorsemast/dispatch/ServiceDispatcher.java
@@ -1,14 +1,14 @@
 package gorsemast.dispatch;
 
 import anisebend.Balancer;
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
-import anisebend.Decide;
+import anisebend.BalancingPolicy;
 import gorsemast.configuration.Route;
-import gorsemast.gossip.ServerNews;
-import gorsemast.http.Passage;
-import gorsemast.http.Turns;
+import gorsemast.gossip.ServerInfo;
+import gorsemast.http.ResponseSink;
+import gorsemast.http.RunToCompletionQueue;
 import gorsemast.http.Upstream;
 import gorsemast.logging.Log;
 import io.netty.buffer.ByteBuf;
@@ -35,26 +35,26 @@
 /**
  * One service: its decision module and the requests that it holds.
  *
- * <p>What the module is told is {@link Briefing}'s; what it decides is carried out here, over {@link Upstream}. All on one
+ * <p>What the module is told is {@link ModuleConfiguration}'s; what it decides is carried out here, over {@link Upstream}. All on one
  * event loop.
  */
-public final class Sender implements Balancer.Actions {
+public final class ServiceDispatcher implements Balancer.Actions {
     /** What the module has left unanswered fails this long before the client's time is over. */
-    private static final long BACKSTOP_MICROS = CallState.BACKSTOP_MICROS;
+    private static final long BACKSTOP_MICROS = CallState.ANSWER_RESERVE_MICROS;
 
     private static final Log LOG = new Log("dispatch");
 
     private static final class Exchange {
         private final String id;
         private final Call call;
-        private final Client client;
+        private final CallListener client;
         private ScheduledFuture<?> backstop;
         private Upstream.Attempt out;
         private FullHttpResponse last;
         private final CallState state;
 
-        Exchange(String id, Call call, Client client) {
-            this.state = new CallState(call.route().repeatable());
+        Exchange(String id, Call call, CallListener client) {
+            this.state = new CallState(call.route().isRepeatable());
             this.id = id;
             this.call = call;
             this.client = client;
@@ -65,9 +65,9 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final Upstream upstream;
-    private final Balancer module = new Decide(this);
-    private final Turns turns = new Turns(LOG::fault);
-    private final Briefing briefing;
+    private final Balancer module = new BalancingPolicy(this);
+    private final RunToCompletionQueue turns = new RunToCompletionQueue(LOG::internalError);
+    private final ModuleConfiguration briefing;
     private final BooleanSupplier ceiling;
     private final Map<String, Exchange> open = new HashMap<>();
     private long sequence;
@@ -77,12 +77,12 @@
      *
      * @param ceiling whether one more attempt may go out now, of what the service bears from all edges; it counts if so
      */
-    public Sender(
+    public ServiceDispatcher(
             String service,
             EventLoop loop,
             LongSupplier clock,
             Upstream upstream,
-            Briefing briefing,
+            ModuleConfiguration briefing,
             BooleanSupplier ceiling,
             long seed) {
         this.service = service;
@@ -99,28 +99,28 @@
     }
 
     /** The routes that lead here, and by how many edges what is bounded over all is divided. */
-    public void retune(List<Route> routes, int sharedBy) {
-        if (briefing.retune(routes, sharedBy)) {
-            turns.event(() -> module.retune(now(), briefing.settings()));
+    public void updateRoutes(List<Route> routes, int sharedBy) {
+        if (briefing.updateRoutes(routes, sharedBy)) {
+            turns.event(() -> module.reconfigure(now(), briefing.settings()));
         }
     }
 
     /** How many connections one server takes from all callers, and how many edges are those; told before the servers. */
-    public void shared(int connections, int sharedBy) {
-        briefing.shared(connections, sharedBy);
+    public void setConnectionLimit(int connections, int sharedBy) {
+        briefing.setConnectionLimit(connections, sharedBy);
     }
 
     /** Who there is; who leaves is sent nothing new from now on. */
-    public void servers(Collection<ServerNews> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
-        Map<String, Server> before = briefing.servers(now(), news, coldUntil, zones);
+    public void updateServers(Collection<ServerInfo> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
+        Map<String, ServerInstance> before = briefing.updateServers(now(), news, coldUntil, zones);
         tell();
         news.forEach(one -> {
-            if (briefing.ready(one.id())) {
-                upstream.part(one.id(), briefing.part());
+            if (briefing.isReady(one.id())) {
+                upstream.limitPeer(one.id(), briefing.connectionShare());
             }
         });
         before.keySet().forEach(id -> {
-            if (!briefing.ready(id)) {
+            if (!briefing.isReady(id)) {
                 upstream.closeIdle(id);
             }
             if (briefing.server(id) == null) {
@@ -130,39 +130,39 @@
     }
 
     private void tell() {
-        turns.event(() -> module.servers(now(), ListKind.FULL, briefing.list(now())));
+        turns.event(() -> module.servers(now(), ListKind.FULL, briefing.weightedServers(now())));
     }
 
     /** What was seen here of this service's servers, added to {@code to}, for other edges. */
-    public void seen(Map<String, double[]> to) {
-        briefing.seen(to);
+    public void collectObservations(Map<String, double[]> to) {
+        briefing.collectObservations(to);
     }
 
     /** What all edges together have seen, of this service's servers among others. */
-    public void heard(Map<String, double[]> pooled) {
-        if (briefing.heard(now(), pooled)) {
+    public void applyPooledObservations(Map<String, double[]> pooled) {
+        if (briefing.applyPooledObservations(now(), pooled)) {
             tell();
         }
     }
 
     /** Whether a server may be sent anything new. */
-    public boolean ready(Upstream.Peer peer) {
-        return briefing.ready(peer.host());
+    public boolean isReady(Upstream.Peer peer) {
+        return briefing.isReady(peer.host());
     }
 
     /** Takes a call, with its body's reference; returns what ends it when its client leaves. */
-    public Runnable take(Call call, Client client) {
+    public Runnable dispatch(Call call, CallListener client) {
         Exchange x = new Exchange("r" + sequence++, call, client);
         open.put(x.id, x);
         x.backstop = loop.schedule(
-                () -> giveUp(x), Math.max(0, call.giveUp() - BACKSTOP_MICROS - now()), TimeUnit.MICROSECONDS);
-        int number = briefing.number(call.route());
+                () -> giveUp(x), Math.max(0, call.deadline() - BACKSTOP_MICROS - now()), TimeUnit.MICROSECONDS);
+        int number = briefing.classNumber(call.route());
         if (number < 0) {
-            number = briefing.add(call.route()); // of a version that has only just been replaced
-            turns.event(() -> module.retune(now(), briefing.settings()));
+            number = briefing.addClass(call.route()); // of a version that has only just been replaced
+            turns.event(() -> module.reconfigure(now(), briefing.settings()));
         }
         Balancer.Request request = new Balancer.Request(
-                x.id, number, 0, call.key(), call.giveUp() - BACKSTOP_MICROS - CallState.MARGIN_MICROS, false);
+                x.id, number, 0, call.key(), call.deadline() - BACKSTOP_MICROS - CallState.MODULE_MARGIN_MICROS, false);
         turns.event(() -> module.request(now(), request));
         return () -> gone(x);
     }
@@ -177,7 +177,7 @@
     private void giveUp(Exchange x) {
         if (!x.state.isAnswered()) {
             conclude(x);
-            finalAnswer(x, () -> x.client.failed(true, x.state.hasGoneOut()));
+            finalAnswer(x, () -> x.client.onFailed(true, x.state.hasBeenSent()));
             abandon(x);
         }
     }
@@ -191,17 +191,17 @@
 
     /** Where a server has answered, though with a failure, its answer is what the client gets. */
     private void finalAnswer(Exchange x, Runnable otherwise) {
-        if (x.last != null && x.state.mayPass(x.last.status().code())) {
-            x.client.answered(x.last);
+        if (x.last != null && x.state.mayForward(x.last.status().code())) {
+            x.client.onAnswer(x.last);
         } else if (x.last != null) {
-            x.client.failed(false, x.state.hasGoneOut());
+            x.client.onFailed(false, x.state.hasBeenSent());
         } else {
             otherwise.run();
         }
     }
 
     private void conclude(Exchange x) {
-        x.state.answered();
+        x.state.markAnswered();
         x.backstop.cancel(false);
         if (x.out != null) {
             x.out.cancel();
@@ -226,50 +226,51 @@
 
     private void sendNow(String request, String id, long until) {
         Exchange x = open.get(request);
-        int attempt = x.state.next();
+        int attempt = x.state.nextAttempt();
         long sentAt = now();
-        Server server = briefing.server(id);
-        long wait = Math.min(until, x.call.giveUp() - BACKSTOP_MICROS) - sentAt;
+        ServerInstance server = briefing.server(id);
+        long wait = Math.min(until, x.call.deadline() - BACKSTOP_MICROS) - sentAt;
         if (x.out != null) {
             x.out.cancel(); // never two at once, whatever the module says
         }
-        boolean counted = attempt == 0 && x.call.counted();
+        boolean counted = attempt == 0 && x.call.permitTaken();
         if (!x.state.maySend() || server == null || wait <= 0 || !counted && !ceiling.getAsBoolean()) {
             told(x, attempt, sentAt, Code.NOT_SENT);
             return;
         }
-        x.state.sent(attempt);
+        x.state.attemptSent(attempt);
         Upstream.Attempt[] mine = new Upstream.Attempt[1];
         boolean[] over = new boolean[1];
         mine[0] = upstream.send(
                 server,
-                message(x.call, id, x.call.giveUp() - sentAt),
+                message(x.call, id, x.call.deadline() - sentAt),
                 wait,
-                !x.call.route().repeatable(),
-                x.call.keep(),
-                new Upstream.Ending() {
+                !x.call.route().isRepeatable(),
+                x.call.bufferLimit(),
+                new Upstream.AttemptListener() {
                     @Override
-                    public void ended(Code code, Note note, FullHttpResponse answer) {
+                    public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                         over[0] = true;
-                        x.state.ended(attempt, code);
+                        x.state.attemptEnded(attempt, code);
                         if (x.out == mine[0]) {
                             x.out = null;
                         }
-                        if (code == Code.OK && briefing.answered(now(), id, x.call.route(), now() - sentAt)) {
+                        if (code == Code.OK && briefing.recordAnswer(now(), id, x.call.route(), now() - sentAt)) {
                             tell();
                         }
-                        Sender.this.ended(x, attempt, sentAt, code, answer);
+                        ServiceDispatcher.this.ended(x, attempt, sentAt, code, answer);
                     }
 
                     @Override
-                    public Passage begins(Note note, HttpResponse head, long length, Passage.Flow flow) {
+                    public ResponseSink streaming(
+                            CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
                         over[0] = true;
-                        x.state.ended(attempt, Code.OK);
+                        x.state.attemptEnded(attempt, Code.OK);
                         x.out = null;
-                        Passage taker = null;
+                        ResponseSink taker = null;
                         if (!x.state.isAnswered()) {
                             conclude(x);
-                            taker = x.client.begins(head, length, flow);
+                            taker = x.client.onStreamStart(head, length, flow);
                         }
                         told(x, attempt, sentAt, Code.OK);
                         return taker;
@@ -283,14 +284,14 @@
     private static FullHttpRequest message(Call call, String id, long wait) {
         ByteBuf body = call.body().isReadable() ? call.body().retainedDuplicate() : Unpooled.EMPTY_BUFFER;
         FullHttpRequest message = call.route().kind() == Route.Kind.CACHEABLE
-                ? new Network.ObjectRead(call.method(), call.uri(), body)
+                ? new ServerDialect.CacheableRequest(call.method(), call.uri(), body)
                 : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, call.method(), call.uri(), body);
         HttpHeaders headers = message.headers();
         headers.set(HttpHeaderNames.HOST, call.route().host());
-        Hops.copy(call.headers(), headers);
-        headers.set(Network.ATTEMPT, call.attemptId())
-                .set(Network.TARGET, id)
-                .set(Network.BUDGET, Math.max(1, wait / 1_000));
+        HopByHopHeaders.copyEndToEnd(call.headers(), headers);
+        headers.set(ServerDialect.ATTEMPT_ID, call.attemptId())
+                .set(ServerDialect.TARGET_INSTANCE, id)
+                .set(ServerDialect.TIME_BUDGET, Math.max(1, wait / 1_000));
         if (body.isReadable()
                 || call.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
                 || call.headers().contains(HttpHeaderNames.TRANSFER_ENCODING)) {
@@ -302,7 +303,7 @@
     private void ended(Exchange x, int attempt, long sentAt, Code code, FullHttpResponse answer) {
         if (code == Code.OK && !x.state.isAnswered()) {
             conclude(x);
-            x.client.answered(answer);
+            x.client.onAnswer(answer);
         } else if (code == Code.ERROR && answer != null && !x.state.isAnswered()) {
             if (x.last != null) {
                 x.last.release();
@@ -316,7 +317,7 @@
         boolean over = x.state.isAnswered();
         turns.event(() -> {
             long now = now();
-            module.outcome(now, new Balancer.Outcome(x.id, attempt, code, now - sentAt, over, Note.NONE, null));
+            module.outcome(now, new Balancer.Outcome(x.id, attempt, code, now - sentAt, over, CacheStatus.NONE, null));
             turns.action(() -> forget(x));
         });
     }
@@ -325,16 +326,16 @@
     public void refuse(String request, long retryAfter) {
         answer(request, x -> {
             if (x.state.mayRefuse()) {
-                x.client.refused(retryAfter, x.state.hasGoneOut());
+                x.client.onRefused(retryAfter, x.state.hasBeenSent());
             } else {
-                x.client.failed(false, x.state.hasGoneOut());
+                x.client.onFailed(false, x.state.hasBeenSent());
             }
         });
     }
 
     @Override
     public void fail(String request) {
-        answer(request, x -> x.client.failed(false, x.state.hasGoneOut()));
+        answer(request, x -> x.client.onFailed(false, x.state.hasBeenSent()));
     }
 
     private void answer(String request, Consumer<Exchange> how) {
@@ -352,7 +353,7 @@
     public void cancel(String request, int attempt) {
         turns.action(() -> {
             Exchange x = open.get(request);
-            if (x != null && x.out != null && x.state.last() == attempt) {
+            if (x != null && x.out != null && x.state.lastAttempt() == attempt) {
                 x.out.cancel();
             }
         });
--- a/src/main/java/gorsemast/election/LeaseElection.java
+++ b/src/main/java/gorsemast/election/LeaseElection.java
@@ -29,33 +29,33 @@
     private static final long STAND_BACK_MICROS = 1_200_000;
 
     /** What is said of a duty. */
-    public enum Word {
+    public enum MessageType {
         /** May I have this term? */
-        ASK,
+        REQUEST_TERM,
         /** You may; also: I know that you hold it. */
         GRANT,
         /** I hold this term; {@code at} comes back with the answer. */
-        HOLD,
+        RENEW,
         /** You may not; terms have come as far as this. */
-        NO;
+        REJECT;
 
-        private static final Word[] ALL = values();
+        private static final MessageType[] ALL = values();
 
         /** The word of this number; null for none. */
-        public static Word of(int number) {
+        public static MessageType of(int number) {
             return number < ALL.length ? ALL[number] : null;
         }
     }
 
     /** Says it to another process. */
-    public interface Out {
+    public interface Output {
         /** @param at the sender's time, which an answer brings back */
-        void say(String to, Word word, long term, long at);
+        void send(String to, MessageType word, long term, long at);
     }
 
     private final String self;
     private final SplittableRandom random;
-    private final Out out;
+    private final Output out;
     private final Predicate<Collection<String>> majority;
     private final Set<String> votes = new HashSet<>();
     private final Map<String, Long> confirmed = new HashMap<>();
@@ -74,7 +74,7 @@
      * @param majority whether these are more than half of those that have a vote, as it is agreed now; this process
      *     among them only where it has one
      */
-    public LeaseElection(String self, long seed, Predicate<Collection<String>> majority, Out out) {
+    public LeaseElection(String self, long seed, Predicate<Collection<String>> majority, Output out) {
         this.self = self;
         this.majority = majority;
         this.random = new SplittableRandom(seed);
@@ -82,7 +82,7 @@
     }
 
     /** Whether this process is to act now. */
-    public boolean acts(long now) {
+    public boolean isActive(long now) {
         if (!self.equals(holder)) {
             return false;
         }
@@ -108,7 +108,7 @@
             standBack(now);
         }
         if (self.equals(holder)) {
-            if (!acts(now) && now - heardAt > LEASE_MICROS) {
+            if (!isActive(now) && now - heardAt > LEASE_MICROS) {
                 holder = null; // it could not be confirmed, and others may have it by now
                 heardAt = now;
                 standBack(now);
@@ -116,7 +116,7 @@
             }
             if (now - toldAt >= TELL_MICROS) {
                 toldAt = now;
-                others.forEach(other -> out.say(other, Word.HOLD, term, now));
+                others.forEach(other -> out.send(other, MessageType.RENEW, term, now));
             }
             return;
         }
@@ -131,7 +131,7 @@
             votes.add(self);
             roundUntil = now + ROUND_MICROS;
             standBackUntil = roundUntil + random.nextLong(STAND_BACK_MICROS);
-            others.forEach(other -> out.say(other, Word.ASK, term, now));
+            others.forEach(other -> out.send(other, MessageType.REQUEST_TERM, term, now));
             win(now);
         }
     }
@@ -157,37 +157,37 @@
     }
 
     /** Another process has said something. */
-    public void said(long now, String from, Word word, long itsTerm, long at) {
+    public void receive(long now, String from, MessageType word, long itsTerm, long at) {
         switch (word) {
-            case ASK -> {
+            case REQUEST_TERM -> {
                 boolean knows = begunAt != Long.MIN_VALUE && now - begunAt > VACANT_MICROS;
                 if (knows && itsTerm > term && now - heardAt > VACANT_MICROS && !self.equals(holder)) {
                     term = itsTerm; // and so never again to anybody
                     asked = 0;
                     heardAt = now; // its word counts as a confirmation, and must hold as long as one
                     standBack(now);
-                    out.say(from, Word.GRANT, itsTerm, at);
+                    out.send(from, MessageType.GRANT, itsTerm, at);
                 } else if (itsTerm <= term) {
-                    out.say(from, Word.NO, term, at);
+                    out.send(from, MessageType.REJECT, term, at);
                 }
             }
-            case NO -> term = self.equals(holder) ? term : Math.max(term, itsTerm);
+            case REJECT -> term = self.equals(holder) ? term : Math.max(term, itsTerm);
             case GRANT -> {
                 if (self.equals(holder) && itsTerm == term) {
                     confirmed.merge(from, at, Math::max);
-                    heardAt = acts(now) ? now : heardAt;
+                    heardAt = isActive(now) ? now : heardAt;
                 } else if (itsTerm == asked) {
                     votes.add(from);
                     win(now);
                 }
             }
-            case HOLD -> {
+            case RENEW -> {
                 if (itsTerm > term || itsTerm == term && !self.equals(holder)) {
                     term = itsTerm;
                     holder = from;
                     asked = 0;
                     heardAt = now;
-                    out.say(from, Word.GRANT, itsTerm, at);
+                    out.send(from, MessageType.GRANT, itsTerm, at);
                 }
             }
         }
--- a/src/main/java/gorsemast/emulator/Attempt.java
+++ b/src/main/java/gorsemast/emulator/Attempt.java
@@ -1,7 +1,7 @@
 package gorsemast.emulator;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
-import anisebend.Balancer.Note;
 import anisebend.Balancer.Server;
 import gorsemast.emulator.Workload.Ask;
 
@@ -9,7 +9,7 @@
 final class Attempt {
     /** Told once how it ended. */
     interface Ending {
-        void ended(Code code, Note note);
+        void ended(Code code, CacheStatus note);
     }
 
     final Server node;
@@ -31,13 +31,13 @@
     }
 
     void cancel() {
-        end(written ? Code.CANCELLED : Code.NOT_SENT, Note.NONE);
+        end(written ? Code.CANCELLED : Code.NOT_SENT, CacheStatus.NONE);
     }
 
     /** Half of its time is over, and others are let in there. */
     void tire() {
         if (connection == null && connections.open(node.id()) > 0) {
-            end(Code.NOT_SENT, Note.NONE);
+            end(Code.NOT_SENT, CacheStatus.NONE);
         }
     }
 
@@ -46,10 +46,10 @@
                 written
                         ? Code.TIMEOUT
                         : connection == null && connections.open(node.id()) > 0 ? Code.NOT_SENT : Code.CONNECT_FAILED,
-                Note.NONE);
+                CacheStatus.NONE);
     }
 
-    void end(Code code, Note note) {
+    void end(Code code, CacheStatus note) {
         if (ended) {
             return;
         }
--- a/src/main/java/gorsemast/emulator/CacheNode.java
+++ b/src/main/java/gorsemast/emulator/CacheNode.java
@@ -1,6 +1,6 @@
 package gorsemast.emulator;
 
-import anisebend.Balancer.Note;
+import anisebend.Balancer.CacheStatus;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -30,7 +30,7 @@
 
     /** What a node answers: in which way, and what it tells of the read. */
     interface Reply {
-        void served(Note note);
+        void served(CacheStatus note);
 
         void error();
 
@@ -45,7 +45,7 @@
         private final Reply reply;
         private final Runnable ran;
         private boolean over;
-        private Note note = Note.HIT;
+        private CacheStatus note = CacheStatus.HIT;
 
         private Work(String key, boolean write, long took, Runnable ran, Reply reply) {
             this.key = key;
@@ -212,7 +212,7 @@
                 if (!work.over && mine == life) {
                     ran.run(); // at the ledger, whoever waits for the answer
                     cluster.drop(key);
-                    work.note = Note.NONE;
+                    work.note = CacheStatus.NONE;
                     queue(work);
                 }
             });
@@ -258,7 +258,7 @@
     /** Has the key fetched, or waits with whoever does; {@code then} goes on with each of them. */
     private void fetch(Work work, Consumer<Work> then) {
         List<Work> waiting = fetching.get(work.key);
-        work.note = waiting == null ? Note.MISS : Note.MISS_FETCHING;
+        work.note = waiting == null ? CacheStatus.MISS : CacheStatus.MISS_FETCHING;
         if (waiting != null) {
             waiting.add(work);
             return;
--- a/src/main/java/gorsemast/emulator/Connections.java
+++ b/src/main/java/gorsemast/emulator/Connections.java
@@ -1,13 +1,13 @@
 package gorsemast.emulator;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.Effect;
-import anisebend.Balancer.Note;
 import anisebend.Balancer.Server;
 import gorsemast.emulator.Tally.Count;
 import gorsemast.emulator.Workload.Ask;
-import gorsemast.pool.Pools;
-import gorsemast.pool.Pools.Room;
+import gorsemast.pool.ConnectionPools;
+import gorsemast.pool.ConnectionPools.OpenDecision;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -19,7 +19,7 @@
 import java.util.SplittableRandom;
 
 /**
- * A proxy's connections to cache nodes, as the real {@link Pools} allow them. Follows {@code net.Upstream}: one request a
+ * A proxy's connections to cache nodes, as the real {@link ConnectionPools} allow them. Follows {@code net.Upstream}: one request a
  * connection at a time, written at most once, and nothing is sent again from here. O(1) an event but for those that wait.
  */
 final class Connections {
@@ -39,7 +39,7 @@
         }
 
         private void open() {
-            pools.opening(time.now(), node.id());
+            pools.connectStarted(time.now(), node.id());
             cluster.tally.add(time.now(), Count.HANDSHAKES);
             time.after(cluster.oneWay(proxy.zone, end), () -> {
                 if (!cluster.reaches(proxy.zone, end)) {
@@ -59,7 +59,7 @@
                 return;
             }
             all.add(this);
-            pools.up(node.id());
+            pools.connected(node.id());
             offer(0);
         }
 
@@ -67,13 +67,13 @@
         private void failed() {
             closed = true;
             cluster.tally.add(time.now(), Count.CONNECTS_FAILED);
-            if (pools.failed(time.now(), node.id())) {
+            if (pools.connectFailed(time.now(), node.id())) {
                 Attempt met = next(node.id());
                 if (met != null) {
-                    met.end(Code.CONNECT_FAILED, Note.NONE);
+                    met.end(Code.CONNECT_FAILED, CacheStatus.NONE);
                 }
-                while (waits(node.id()) > pools.opening(node.id())) {
-                    next(node.id()).end(Code.NOT_SENT, Note.NONE);
+                while (waits(node.id()) > pools.connectingCount(node.id())) {
+                    next(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
                 }
             }
             grow(node);
@@ -94,9 +94,9 @@
         private void carry(Attempt next) {
             attempt = next;
             next.connection = this;
-            pools.taken(time.now(), node.id());
+            pools.acquired(time.now(), node.id());
             if (!proxy.ready(next.node)) {
-                next.end(Code.NOT_SENT, Note.NONE);
+                next.end(Code.NOT_SENT, CacheStatus.NONE);
                 return;
             }
             next.written = true;
@@ -113,7 +113,7 @@
             }
             boolean answerLost = cluster.losesAnswer();
             if (cluster.breaksConnection()) {
-                ifRunning(cluster.oneWay(proxy.zone, end), () -> sent.end(Code.RESET, Note.NONE));
+                ifRunning(cluster.oneWay(proxy.zone, end), () -> sent.end(Code.RESET, CacheStatus.NONE));
                 return;
             }
             Ask ask = sent.ask;
@@ -125,24 +125,24 @@
                             time.now(),
                             ask.id,
                             ask.rules().effect(),
-                            ask.rules().window()),
+                            ask.rules().deduplicationWindow()),
                     new CacheNode.Reply() {
                         @Override
-                        public void served(Note note) {
+                        public void served(CacheStatus note) {
                             back(Code.OK, note);
                         }
 
                         @Override
                         public void error() {
-                            back(Code.ERROR, Note.NONE);
+                            back(Code.ERROR, CacheStatus.NONE);
                         }
 
                         @Override
                         public void turnedAway() {
-                            back(Code.FULL, Note.NONE);
+                            back(Code.FULL, CacheStatus.NONE);
                         }
 
-                        private void back(Code code, Note note) {
+                        private void back(Code code, CacheStatus note) {
                             if (!answerLost && cluster.reaches(proxy.zone, end)) {
                                 ifRunning(cluster.oneWay(proxy.zone, end), () -> sent.end(code, note));
                             }
@@ -169,7 +169,7 @@
     private final VirtualTime time;
     private final ClusterSettings settings;
     private final int life;
-    private final Pools pools;
+    private final ConnectionPools pools;
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
     private final Map<String, Deque<Attempt>> waiting = new HashMap<>();
     private final Set<Connection> all = new LinkedHashSet<>();
@@ -180,7 +180,8 @@
         this.time = cluster.time;
         this.settings = cluster.settings;
         this.life = proxy.life();
-        this.pools = new Pools(settings.proxyConnections(), new SplittableRandom(cluster.seed(proxy.number, life)));
+        this.pools = new ConnectionPools(
+                settings.proxyConnections(), new SplittableRandom(cluster.seed(proxy.number, life)));
     }
 
     private void ifRunning(long micros, Runnable what) {
@@ -207,7 +208,7 @@
     }
 
     int open(String node) {
-        return pools.open(node);
+        return pools.openCount(node);
     }
 
     /** An attempt has ended: only a whole answer frees its connection. */
@@ -217,9 +218,9 @@
             return;
         }
         connection.attempt = null;
-        pools.given(connection.node.id());
+        pools.released(connection.node.id());
         if (code == Code.OK || code == Code.FULL || code == Code.ERROR) {
-            connection.offer(pools.opening(connection.node.id()));
+            connection.offer(pools.connectingCount(connection.node.id()));
         } else {
             connection.close();
             CacheNode.Work work = attempt.work;
@@ -248,15 +249,15 @@
     }
 
     private void grow(Server node) {
-        while (idles(node.id()) && waits(node.id()) > pools.opening(node.id())) {
+        while (idles(node.id()) && waits(node.id()) > pools.connectingCount(node.id())) {
             idle.get(node.id()).pollFirst().carry(next(node.id()));
         }
         for (int waits = waits(node.id()); waits > 0; waits = waits(node.id())) {
-            Room room = pools.room(time.now(), node.id(), waits);
-            if (room == Room.NONE && !closeOneIdle()) {
-                next(node.id()).end(Code.NOT_SENT, Note.NONE);
-            } else if (room == Room.WAIT) {
-                long trial = pools.trialAt(node.id()) - time.now();
+            OpenDecision room = pools.decideOpen(time.now(), node.id(), waits);
+            if (room == OpenDecision.NONE && !closeOneIdle()) {
+                next(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
+            } else if (room == OpenDecision.WAIT) {
+                long trial = pools.nextTrialAt(node.id()) - time.now();
                 if (trial > 0) {
                     ifRunning(trial, () -> grow(node));
                 }
@@ -268,7 +269,7 @@
     }
 
     private boolean closeOneIdle() {
-        String node = pools.crowded();
+        String node = pools.nodeWithMostIdle();
         if (node == null || !idles(node)) {
             return false;
         }
@@ -297,7 +298,7 @@
                     Attempt out = connection.attempt;
                     connection.close();
                     if (out != null) {
-                        out.end(Code.RESET, Note.NONE);
+                        out.end(Code.RESET, CacheStatus.NONE);
                     }
                 });
             }
--- a/src/main/java/gorsemast/emulator/SimulatedProxy.java
+++ b/src/main/java/gorsemast/emulator/SimulatedProxy.java
@@ -1,12 +1,12 @@
 package gorsemast.emulator;
 
 import anisebend.Balancer;
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
 import anisebend.Balancer.Server;
 import anisebend.Balancer.State;
-import anisebend.Decide;
+import anisebend.BalancingPolicy;
 import gorsemast.emulator.Tally.Count;
 import gorsemast.emulator.Workload.Ask;
 import gorsemast.register.ListWatch;
@@ -77,7 +77,7 @@
         life++;
         up = true;
         ending = false;
-        module = new Decide(this);
+        module = new BalancingPolicy(this);
         watch = new ListWatch(ClusterSettings.askWithin());
         connections = new Connections(this, cluster);
         nodes = new HashMap<>();
@@ -86,7 +86,7 @@
         events.clear();
         actions.clear();
         busy = false;
-        concluded = new long[Balancer.Why.values().length];
+        concluded = new long[Balancer.UnservedReason.values().length];
         tell(() -> module.start(time.now(), cluster.seed(number, life), cluster.settings.module(zone)));
         apply(ListKind.CACHED, known, version);
     }
@@ -229,7 +229,7 @@
         }
         cluster.tally.add(sentAt, Count.ATTEMPTS);
         if (x.answered || node == null || wait <= 0) {
-            told(x, attempt, sentAt, Code.NOT_SENT, Note.NONE);
+            told(x, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE);
             return;
         }
         Attempt[] mine = new Attempt[1];
@@ -250,7 +250,7 @@
         }
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code, Note note) {
+    private void told(Exchange x, int attempt, long sentAt, Code code, CacheStatus note) {
         cluster.tally.add(
                 time.now(),
                 switch (code) {
@@ -441,11 +441,13 @@
             return;
         }
         Balancer.View view = module.view(time.now());
-        for (Balancer.Why why : Balancer.Why.values()) {
+        for (Balancer.UnservedReason why : Balancer.UnservedReason.values()) {
             tally.add(
-                    time.now(), Count.valueOf(why.name()), view.concluded()[why.ordinal()] - concluded[why.ordinal()]);
+                    time.now(),
+                    Count.valueOf(why.name()),
+                    view.unservedByReason()[why.ordinal()] - concluded[why.ordinal()]);
         }
-        concluded = view.concluded().clone();
+        concluded = view.unservedByReason().clone();
         tally.add(
                 time.now(),
                 Count.SUSPECTS,
--- a/src/main/java/gorsemast/emulator/Workload.java
+++ b/src/main/java/gorsemast/emulator/Workload.java
@@ -142,7 +142,7 @@
                 && (draw -= ClusterSettings.TENANTS.get(tenant).share()) >= 0) {
             tenant++;
         }
-        cluster.tally.asked(time.now(), ClusterSettings.CLASSES.get(type).worth());
+        cluster.tally.asked(time.now(), ClusterSettings.CLASSES.get(type).importance());
         ask(type, tenant, key, took, time.now(), 1, proxy);
     }
 
@@ -156,7 +156,7 @@
             return;
         }
         if (random.nextDouble() < leave) {
-            time.after(ask.rules().aim() / 2, () -> {
+            time.after(ask.rules().targetLatency() / 2, () -> {
                 if (!ask.over) {
                     ask.over = true;
                     cluster.tally.add(time.now(), Count.LEFT);
@@ -177,10 +177,10 @@
     void served(Ask ask) {
         if (ended(ask)) {
             long took = time.now() - ask.firstAt;
-            boolean inTime = took <= ask.rules().aim();
+            boolean inTime = took <= ask.rules().targetLatency();
             cluster.tally.add(time.now(), inTime ? Count.IN_TIME : Count.LATE);
             if (took <= ask.rules().deadline()) {
-                cluster.tally.served(ask.firstAt, ask.rules().worth() * (inTime ? 1 : ClusterSettings.LATE_WORTH));
+                cluster.tally.served(ask.firstAt, ask.rules().importance() * (inTime ? 1 : ClusterSettings.LATE_WORTH));
             }
         }
     }
--- a/src/main/java/gorsemast/gossip/Entry.java
+++ b/src/main/java/gorsemast/gossip/Entry.java
@@ -11,9 +11,9 @@
  * @param key unique within its kind
  * @param origin who vouches for its content, where one stamp may have several
  * @param body a record of its kind; not to be written to
- * @param born when it was first told, by the clock of the process that holds it, in microseconds
+ * @param createdAt when it was first told, by the clock of the process that holds it, in microseconds
  */
-public record Entry(Kind kind, String key, long stamp, Origin origin, byte[] body, long born) {
+public record Entry(Kind kind, String key, long stamp, Origin origin, byte[] body, long createdAt) {
     /**
      * A content and the term that vouches for it; of two contents under a stamp the later term's holds.
      *
@@ -57,7 +57,7 @@
         }
 
         /** Whether digests are of it. */
-        public boolean mended() {
+        public boolean reconciled() {
             return this != SPEED;
         }
 
@@ -83,26 +83,26 @@
     }
 
     /** What digests and summaries are of. */
-    GossipState.Stamp mark() {
-        return new GossipState.Stamp(kind, key, stamp, origin);
+    GossipState.EntryVersion version() {
+        return new GossipState.EntryVersion(kind, key, stamp, origin);
     }
 
     /** Whether it is forgotten after some time: what still holds is not, however long ago it was told. */
-    boolean passes() {
-        return kind == Kind.SERVER ? ServerNews.passes(stamp) : kind.passes;
+    boolean expires() {
+        return kind == Kind.SERVER ? ServerInfo.passes(stamp) : kind.passes;
     }
 
     /** Writes it with its age, as clocks are not compared between machines. */
     public void write(DataOutputStream out, long now) throws IOException {
-        mark().write(out);
-        out.writeLong(Math.max(0, now - born));
+        version().write(out);
+        out.writeLong(Math.max(0, now - createdAt));
         out.writeInt(body.length);
         out.write(body);
     }
 
     /** Reads what {@link #write} wrote. */
     public static Entry read(DataInputStream in, long now) throws IOException {
-        GossipState.Stamp mark = GossipState.Stamp.read(in);
+        GossipState.EntryVersion mark = GossipState.EntryVersion.read(in);
         long age = in.readLong();
         int length = in.readInt();
         if (length < 0 || length > MOST || age < 0) {
