--- a/src/main/java/gorsemast/proxy/ProxyProgram.java
+++ b/src/main/java/gorsemast/proxy/ProxyProgram.java
@@ -1,25 +1,25 @@
 package gorsemast.proxy;
 
-import gorsemast.cache.CopyCache;
-import gorsemast.cache.Fetching;
+import gorsemast.cache.FetchCoordinator;
+import gorsemast.cache.ResponseCache;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
-import gorsemast.dispatch.Briefing;
-import gorsemast.dispatch.Network;
-import gorsemast.dispatch.Sender;
+import gorsemast.dispatch.ModuleConfiguration;
+import gorsemast.dispatch.ServerDialect;
+import gorsemast.dispatch.ServiceDispatcher;
 import gorsemast.gossip.Entry;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.ServerInfo;
 import gorsemast.http.StrictHttp;
 import gorsemast.http.Upstream;
 import gorsemast.logging.Log;
 import gorsemast.node.Daemon;
-import gorsemast.node.Seed;
+import gorsemast.node.RandomSeed;
 import gorsemast.node.Settings;
 import gorsemast.peer.Link;
 import gorsemast.peer.Links;
 import gorsemast.peer.Neighbour;
+import gorsemast.peer.PeerMessage;
 import gorsemast.peer.Ports;
-import gorsemast.peer.Record;
 import gorsemast.transport.Transport;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -54,7 +54,7 @@
  * The proxy's program round its {@link ProxyNode}: links to a few registries and proxies, the listeners, and a sender for each
  * service. One event loop.
  */
-public final class ProxyProgram implements Daemon, Link.Receiver, ProxyNode.Follower {
+public final class ProxyProgram implements Daemon, Link.Receiver, ProxyNode.Listener {
     /** Of the descriptors, so many are the platform's. */
     private static final int RESERVED = 200;
 
@@ -81,18 +81,18 @@
 
     private final Settings settings;
     private final EventLoop loop;
-    private final CopyCache shelf = new CopyCache(SHELF_BYTES);
+    private final ResponseCache shelf = new ResponseCache(SHELF_BYTES);
     private final Links links;
     private final SocketBudget places;
     private final ProxyNode lookout;
     private final Upstream servers;
     private final Upstream between;
-    private final ObjectDesk desk;
-    private final Fetching<FullHttpResponse> fetching;
-    private final Front front;
+    private final ObjectService desk;
+    private final FetchCoordinator<FullHttpResponse> fetching;
+    private final Frontend front;
     private final EdgeCounters counters = new EdgeCounters();
-    private final Map<String, Sender> senders = new HashMap<>();
-    private final SplittableRandom random = new SplittableRandom(Seed.fresh());
+    private final Map<String, ServiceDispatcher> senders = new HashMap<>();
+    private final SplittableRandom random = new SplittableRandom(RandomSeed.next());
     private final long origin = System.nanoTime();
     private boolean stopping;
     private long reportAt;
@@ -103,7 +103,7 @@
         this.settings = settings;
         this.loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
         this.links = new Links(loop, this::now, this::hello, this);
-        this.places = SocketBudget.of(Math.max(16, settings.descriptors() - RESERVED));
+        this.places = SocketBudget.of(Math.max(16, settings.fileDescriptors() - RESERVED));
         this.lookout = new ProxyNode(
                 settings.ip(),
                 settings.zone(),
@@ -117,7 +117,7 @@
                 this);
         this.servers = new Upstream(
                 loop,
-                new Network(),
+                new ServerDialect(),
                 this::readyServer,
                 places.servers(),
                 SERVER_IDLE_MILLIS,
@@ -125,35 +125,35 @@
                 random.nextLong());
         this.between = new Upstream(
                 loop, new HomeDialect(), peer -> true, places.between(), 20_000, CONNECT_MILLIS, random.nextLong());
-        this.desk = new ObjectDesk(
+        this.desk = new ObjectService(
                 loop,
                 this::now,
-                new HomeAsker(
+                new HomeClient(
                         loop,
                         this::now,
                         between,
-                        ip -> Ports.OBJECTS.at(settings, ip),
+                        ip -> Ports.OBJECTS.address(settings, ip),
                         places.between(),
                         places.keeps(),
                         counters.sockets(),
                         random.nextLong()),
                 senders::get,
                 lookout::configuration,
-                lookout.homes()::count,
+                lookout.homes()::edgeCount,
                 counters.answers(),
                 random.nextLong());
-        this.fetching = new Fetching<>(
+        this.fetching = new FetchCoordinator<>(
                 settings.ip(),
                 this::now,
                 shelf,
                 lookout.homes(),
-                lookout.board(),
+                lookout.gossipState(),
                 settings.time("originWindow", 5_000_000),
-                settings.linkBytes(),
+                settings.linkBytesPerSecond(),
                 random.nextLong(),
                 desk);
         desk.goBy(fetching);
-        this.front = new Front(
+        this.front = new Frontend(
                 loop,
                 this::now,
                 lookout::configuration,
@@ -165,13 +165,13 @@
                 random.nextLong());
     }
 
-    private Record.Hello hello() {
+    private PeerMessage.Hello hello() {
         return lookout.hello();
     }
 
     private Map<String, double[]> seen() {
         Map<String, double[]> all = new HashMap<>();
-        senders.values().forEach(sender -> sender.seen(all));
+        senders.values().forEach(sender -> sender.collectObservations(all));
         return all;
     }
 
@@ -181,8 +181,8 @@
     }
 
     private boolean readyServer(Upstream.Peer peer) {
-        for (Sender sender : senders.values()) {
-            if (sender.ready(peer)) {
+        for (ServiceDispatcher sender : senders.values()) {
+            if (sender.isReady(peer)) {
                 return true;
             }
         }
@@ -191,24 +191,24 @@
 
     @Override
     public void start() throws IOException {
-        InetSocketAddress clients = settings.listens().get("front");
-        InetSocketAddress probes = settings.listens().get("ready");
+        InetSocketAddress clients = settings.listenAddresses().get("front");
+        InetSocketAddress probes = settings.listenAddresses().get("ready");
         if (clients == null || probes == null) {
             throw new IOException("listenAddrs: front and ready are needed");
         }
         front.listen(clients, HEAD_BYTES); // first: who comes before the rest is there waits and is not turned away
         if (places.watched() > 0) {
-            links.listen(Ports.PROXY.at(settings, settings.ip()));
+            links.listen(Ports.PROXY.address(settings, settings.ip()));
         }
         new ObjectsServer(
                         loop,
                         this::now,
                         lookout::configuration,
                         desk,
-                        lookout.board(),
+                        lookout.gossipState(),
                         counters.sockets(),
                         places.asked())
-                .listen(Ports.OBJECTS.at(settings, settings.ip()));
+                .listen(Ports.OBJECTS.address(settings, settings.ip()));
         listenForProbes(probes);
         loop.execute(this::tick);
         loop.scheduleWithFixedDelay(this::tick, ProxyNode.TICK_MICROS, ProxyNode.TICK_MICROS, TimeUnit.MICROSECONDS);
@@ -257,7 +257,7 @@
 
     @Override
     public void reload(Settings changed) {
-        loop.execute(() -> lookout.seeds(changed.seedIps()));
+        loop.execute(() -> lookout.addSeeds(changed.seedIps()));
     }
 
     @Override
@@ -300,20 +300,20 @@
 
     @Override
     public void close() {
-        Daemon.end(loop);
+        Daemon.shutDown(loop);
     }
 
     private void tick() {
         try {
             lookout.tick();
-            shelf.sweep(now());
+            shelf.removeExpired(now());
             report();
             Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-            lookout.wantedRegistries().forEach(ip -> wanted.add(Ports.REGISTRY.at(settings, ip)));
-            lookout.wantedEdges().forEach(ip -> wanted.add(Ports.PROXY.at(settings, ip)));
-            links.keep(wanted);
+            lookout.wantedRegistries().forEach(ip -> wanted.add(Ports.REGISTRY.address(settings, ip)));
+            lookout.wantedEdges().forEach(ip -> wanted.add(Ports.PROXY.address(settings, ip)));
+            links.setTargets(wanted);
         } catch (RuntimeException e) {
-            LOG.fault(e);
+            LOG.internalError(e);
         }
     }
 
@@ -340,78 +340,78 @@
     // ---- what the lookout tells
 
     @Override
-    public void configured(Configuration now, int edges) {
-        Map<String, List<Route>> routes = now.byService();
-        Briefing.Budget budget = new Briefing.Budget(
+    public void configurationChanged(Configuration now, int edges) {
+        Map<String, List<Route>> routes = now.routesByService();
+        ModuleConfiguration.RetryBudget budget = new ModuleConfiguration.RetryBudget(
                 settings.number("retryBudgetRatio", 0.1),
                 settings.number("retrySlack", 0),
                 settings.time("retryWindow", 10_000_000));
         routes.forEach((service, of) -> {
-            Sender sender = senders.get(service);
+            ServiceDispatcher sender = senders.get(service);
             if (sender == null) {
-                sender = new Sender(
+                sender = new ServiceDispatcher(
                         service,
                         loop,
                         this::now,
                         servers,
-                        new Briefing(
+                        new ModuleConfiguration(
                                 settings.ip(),
                                 Math.max(1, places.servers() / routes.size()),
                                 budget,
-                                settings.zoneNumber(settings.zone()),
+                                settings.zoneIndex(settings.zone()),
                                 of,
                                 edges),
-                        () -> fetching.another(service),
+                        () -> fetching.tryAcquirePermit(service),
                         random.nextLong());
                 senders.put(service, sender);
             } else {
-                sender.retune(of, edges);
+                sender.updateRoutes(of, edges);
             }
             int connections = now.services().get(service).maxConnections();
             boolean held = of.stream().allMatch(route -> route.kind() == Route.Kind.CACHEABLE);
-            sender.shared(connections, held ? Math.min(edges, desk.fetchers(service)) : edges);
+            sender.setConnectionLimit(connections, held ? Math.min(edges, desk.fetcherCount(service)) : edges);
         });
     }
 
     @Override
-    public void servers(Map<String, List<ServerNews>> by, Map<String, Long> coldUntil) {
+    public void serversChanged(Map<String, List<ServerInfo>> by, Map<String, Long> coldUntil) {
         by.forEach((service, known) -> {
-            Sender sender = senders.get(service);
+            ServiceDispatcher sender = senders.get(service);
             if (sender != null) {
-                sender.servers(known, coldUntil, settings::zoneNumber);
+                sender.updateServers(known, coldUntil, settings::zoneIndex);
             }
         });
     }
 
     @Override
     public void purged(Entry purge) {
-        fetching.purged(purge);
+        fetching.applyPurge(purge);
     }
 
     @Override
-    public void speeds(Map<String, double[]> pooled) {
-        senders.values().forEach(sender -> sender.heard(pooled));
+    public void speedsReceived(Map<String, double[]> pooled) {
+        senders.values().forEach(sender -> sender.applyPooledObservations(pooled));
     }
 
     @Override
-    public void afterwards(Runnable task) {
+    public void runAfterwards(Runnable task) {
         loop.execute(task);
     }
 
     // ---- links
 
     @Override
-    public void up(Neighbour one) {
+    public void connected(Neighbour one) {
         lookout.up(one);
     }
 
     @Override
-    public void down(Neighbour one) {
+    public void disconnected(Neighbour one) {
         // what it told holds on
     }
 
     @Override
-    public void received(Neighbour one, Record record) {
+    public void received(Neighbour one, PeerMessage record) {
         lookout.received(one, record);
     }
 }
--- a/src/main/java/gorsemast/registry/Command.java
+++ b/src/main/java/gorsemast/registry/Command.java
@@ -1,12 +1,12 @@
 package gorsemast.registry;
 
 import gorsemast.configuration.Configuration;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.ServerInfo;
 
 /** A call from outside, decoded; it is run elsewhere. Values; any thread. */
 public sealed interface Command {
     /** A server tells of itself; in a beat that it is going to leave its state is DRAINING. */
-    record Beat(ServerNews server) implements Command {}
+    record Heartbeat(ServerInfo server) implements Command {}
 
     /** A server has left. */
     record Deregister(String id) implements Command {}
--- a/src/main/java/gorsemast/registry/CallException.java
+++ b/src/main/java/gorsemast/registry/CommandException.java
@@ -1,7 +1,7 @@
 package gorsemast.registry;
 
 /** A call that is turned away, with the status that says why. */
-public final class CallException extends RuntimeException {
+public final class CommandException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
     /** Why. */
@@ -27,7 +27,7 @@
 
     private final Code code;
 
-    CallException(Code code, String text) {
+    CommandException(Code code, String text) {
         super(text);
         this.code = code;
     }
--- a/src/main/java/gorsemast/registry/ControlServer.java
+++ b/src/main/java/gorsemast/registry/ControlServer.java
@@ -81,7 +81,8 @@
             String path = query < 0 ? request.uri() : request.uri().substring(0, query);
             int size = request.content().readableBytes();
             try {
-                Command command = Calls.decode(request.method().name(), path, ByteBufUtil.getBytes(request.content()));
+                Command command =
+                        CommandDecoder.decode(request.method().name(), path, ByteBufUtil.getBytes(request.content()));
                 busy = true;
                 boolean[] answered = new boolean[1];
                 runner.run(command, size, (status, text, body) -> {
@@ -91,10 +92,10 @@
                         write(ctx, status, text, body, keep);
                     }
                 });
-            } catch (CallException e) {
+            } catch (CommandException e) {
                 write(ctx, e.code().status(), e.getMessage(), null, keep);
             } catch (RuntimeException e) {
-                LOG.fault(e);
+                LOG.internalError(e);
                 write(ctx, 500, "a fault", null, false);
             }
         }
--- a/src/main/java/gorsemast/registry/DurableNews.java
+++ b/src/main/java/gorsemast/registry/DurableNews.java
@@ -3,7 +3,7 @@
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.GossipState;
 import gorsemast.logging.Log;
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -17,7 +17,7 @@
 /**
  * What of the news is on this machine's disk, and what it says there: a journal for what has to be there before it is
  * confirmed, and a snapshot of everything, which the journal's records are gone into. Whether the disk is complete
- * stands in the snapshot. The disk itself is behind {@link RegistryNode.Carrier}. One caller.
+ * stands in the snapshot. The disk itself is behind {@link RegistryNode.Environment}. One caller.
  */
 final class DurableNews {
     /** The first byte of a snapshot; earlier ones began with the form of their record. */
@@ -31,7 +31,7 @@
     private static final Log LOG = new Log("registry");
 
     private final GossipState board;
-    private final RegistryNode.Carrier carrier;
+    private final RegistryNode.Environment carrier;
     /** Stamps by key of what is synced. */
     private final Map<String, Long> synced = new HashMap<>();
 
@@ -48,7 +48,7 @@
      * @param remembers whether there is a disk
      * @param firstBoot whether an empty one is as it should be
      */
-    DurableNews(GossipState board, RegistryNode.Carrier carrier, boolean remembers, boolean firstBoot) {
+    DurableNews(GossipState board, RegistryNode.Environment carrier, boolean remembers, boolean firstBoot) {
         this.board = board;
         this.carrier = carrier;
         this.remembers = remembers;
@@ -68,7 +68,7 @@
 
     /** A piece of news has come. */
     void changed(Entry item) {
-        changed |= item.kind().mended();
+        changed |= item.kind().reconciled();
     }
 
     /** Writes a snapshot where one is due; to be called at each tick. */
@@ -83,7 +83,7 @@
         writeAt = now + WRITE_MICROS;
         poolWriteAt = now + POOL_WRITE_MICROS;
         long term = quorum.membership().term();
-        carrier.remember(snapshot(now, completes || complete), safe -> {
+        carrier.writeSnapshot(snapshot(now, completes || complete), safe -> {
             writing = false;
             changed |= !safe;
             if (safe && completes && term == quorum.membership().term()) {
@@ -136,7 +136,7 @@
     private static byte[] news(List<Entry> items, long now) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            new Record.News(0, items).write(out, now);
+            new PeerMessage.Updates(0, items).write(out, now);
         } catch (IOException e) {
             throw new IllegalStateException(e); // memory does not fail
         }
@@ -159,8 +159,8 @@
 
     private static List<Entry> items(byte[] record, int from, long now) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(record, from, record.length - from))) {
-            if (Record.read(in, now) instanceof Record.News news) {
-                return news.items();
+            if (PeerMessage.read(in, now) instanceof PeerMessage.Updates news) {
+                return news.entries();
             }
         } catch (IOException e) {
             LOG.warn("can't recall what it knew: " + e.getMessage());
--- a/src/main/java/gorsemast/registry/HeartbeatTable.java
+++ b/src/main/java/gorsemast/registry/HeartbeatTable.java
@@ -3,9 +3,9 @@
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
 import gorsemast.gossip.GossipState;
-import gorsemast.gossip.MachineNews;
-import gorsemast.gossip.ServerNews;
-import gorsemast.gossip.ServerNews.State;
+import gorsemast.gossip.MachineInfo;
+import gorsemast.gossip.ServerInfo;
+import gorsemast.gossip.ServerInfo.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -43,20 +43,20 @@
     }
 
     /** What is to be published for a beat, and whether others must hold it first. */
-    public record Outcome(Entry item, boolean waits) {}
+    public record Outcome(Entry entry, boolean requiresReplication) {}
 
     /** A server's own beat. Null where it is no news. */
-    public Outcome beat(long now, ServerNews server) {
+    public Outcome heartbeat(long now, ServerInfo server) {
         heard.put(server.id(), now);
         told.merge(server.id(), server.seq(), Math::max);
         sinceTold.put(server.id(), told.get(server.id()));
         Entry held = board.get(Kind.SERVER, server.id());
-        ServerNews known = held == null ? null : ServerNews.of(held);
+        ServerInfo known = held == null ? null : ServerInfo.fromEntry(held);
         if (known != null && known.state() == State.GONE) {
             // It has left; this came late. What it asks for holds once its departure does.
             return server.state() == State.DRAINING && !safe(held) ? new Outcome(held, true) : null;
         }
-        Entry item = server.item(now);
+        Entry item = server.toEntry(now);
         if (known != null
                 && (held.stamp() >= item.stamp()
                         || known.state() == server.state()
@@ -71,13 +71,14 @@
     /** A server has left. Null where all know. */
     public Outcome deregister(long now, String id) {
         Entry held = board.get(Kind.SERVER, id);
-        ServerNews known = held == null ? null : ServerNews.of(held);
-        ServerNews gone =
-                known == null ? new ServerNews(id, "", "", "", 1, State.GONE, 0, 0) : known.in(State.GONE, known.seq());
+        ServerInfo known = held == null ? null : ServerInfo.fromEntry(held);
+        ServerInfo gone = known == null
+                ? new ServerInfo(id, "", "", "", 1, State.GONE, 0, 0)
+                : known.withState(State.GONE, known.seq());
         if (known != null && known.state() == State.GONE) {
             return safe(held) ? null : new Outcome(held, true);
         }
-        return new Outcome(gone.item(now), true);
+        return new Outcome(gone.toEntry(now), true);
     }
 
     private boolean safe(Entry item) {
@@ -85,12 +86,12 @@
     }
 
     /** Others hold this. */
-    public void safe(String key, long stamp) {
+    public void markReplicated(String key, long stamp) {
         safe.add(key + stamp);
     }
 
     /** Another registry has heard this one of late. */
-    public void heardElsewhere(long now, String id, long seq) {
+    public void heartbeatAtPeer(long now, String id, long seq) {
         Long known = told.get(id);
         if (known == null || seq > known || seq == 0) {
             told.put(id, seq);
@@ -99,50 +100,55 @@
     }
 
     /** What was heard here since this was last asked. */
-    public Map<String, Long> heardHere() {
+    public Map<String, Long> takeLocalHeartbeats() {
         Map<String, Long> all = new HashMap<>(sinceTold);
         sinceTold.clear();
         return all;
     }
 
     /** A machine that has a link to this registry now. Returns what is to be published, null for nothing. */
-    public Entry linked(long now, Kind kind, String ip, String zone, String control, long life) {
+    public Entry machineConnected(long now, Kind kind, String ip, String zone, String control, long life) {
         String key = kind + ip;
         heard.put(key, now);
         sinceTold.put(key, 0L);
         Entry held = board.get(kind, ip);
-        MachineNews known = held == null ? null : MachineNews.of(held);
-        if (known != null && known.up() && known.life() >= life) {
+        MachineInfo known = held == null ? null : MachineInfo.fromEntry(held);
+        if (known != null && known.up() && known.incarnation() >= life) {
             return null;
         }
-        long next = known == null ? life : Math.max(life, known.life() + 1);
-        return new MachineNews(ip, zone, control, true, next).item(kind, now);
+        long next = known == null ? life : Math.max(life, known.incarnation() + 1);
+        return new MachineInfo(ip, zone, control, true, next).toEntry(kind, now);
     }
 
     /** What has been silent for too long; only for who can tell that, as it reaches most of the others. */
-    public List<Entry> silent(long now) {
+    public List<Entry> detectSilent(long now) {
         List<Entry> found = new ArrayList<>();
         for (Entry item : board.all(Kind.SERVER)) {
-            ServerNews server = ServerNews.of(item);
+            ServerInfo server = ServerInfo.fromEntry(item);
             long quiet = now - heard.computeIfAbsent(item.key(), key -> now);
             if (server == null) {
                 continue;
             }
             long seq = Math.max(server.seq(), told.getOrDefault(item.key(), 0L));
             if (server.state() == State.READY && quiet > MISSED * beatMicros) {
-                found.add(server.in(State.SILENT, seq).item(now));
+                found.add(server.withState(State.SILENT, seq).toEntry(now));
             } else if (server.state() == State.DRAINING && quiet > DRAINED_MICROS) {
-                found.add(server.in(State.GONE, seq).item(now));
+                found.add(server.withState(State.GONE, seq).toEntry(now));
             }
         }
         for (Kind kind : List.of(Kind.EDGE, Kind.CORE)) {
             for (Entry item : board.all(kind)) {
-                MachineNews machine = MachineNews.of(item);
+                MachineInfo machine = MachineInfo.fromEntry(item);
                 if (machine != null
                         && machine.up()
                         && now - heard.computeIfAbsent(kind + item.key(), key -> now) > DOWN_MICROS) {
-                    found.add(new MachineNews(machine.ip(), machine.zone(), machine.control(), false, machine.life())
-                            .item(kind, now));
+                    found.add(new MachineInfo(
+                                    machine.ip(),
+                                    machine.zone(),
+                                    machine.controlAddress(),
+                                    false,
+                                    machine.incarnation())
+                            .toEntry(kind, now));
                 }
             }
         }
@@ -150,7 +156,7 @@
     }
 
     /** Forgets what the board has forgotten. */
-    public void forget() {
+    public void removeForgotten() {
         Set<String> known = new HashSet<>();
         board.all(Kind.SERVER).forEach(item -> known.add(item.key()));
         for (Kind kind : List.of(Kind.EDGE, Kind.CORE)) {
--- a/src/main/java/gorsemast/registry/Membership.java
+++ b/src/main/java/gorsemast/registry/Membership.java
@@ -1,6 +1,6 @@
 package gorsemast.registry;
 
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.Set;
@@ -12,48 +12,50 @@
  *
  * @param term of the store's view; 0 for none yet
  * @param members addresses
- * @param before the list that is being replaced; empty where none is
+ * @param previousMembers the list that is being replaced; empty where none is
  * @param losses how many disks may be lost at the same time, one at the least
  */
-public record Membership(long term, Set<String> members, Set<String> before, int losses) {
+public record Membership(long term, Set<String> members, Set<String> previousMembers, int losses) {
     /** Of nobody: nothing is acknowledged and nothing vouched for. */
     public static Membership none(int losses) {
         return new Membership(0, Set.of(), Set.of(), Math.max(1, losses));
     }
 
     /** As the store on this machine tells it. */
-    Membership next(Record.Members told) {
+    Membership next(PeerMessage.Members told) {
         return new Membership(
-                told.term(), new LinkedHashSet<>(told.members()), new LinkedHashSet<>(told.before()), losses);
+                told.term(), new LinkedHashSet<>(told.members()), new LinkedHashSet<>(told.previousMembers()), losses);
     }
 
     /** Whether this machine counts. */
-    public boolean has(String ip) {
-        return members.contains(ip) || before.contains(ip);
+    public boolean contains(String ip) {
+        return members.contains(ip) || previousMembers.contains(ip);
     }
 
     /** All that count. */
     public Set<String> all() {
         Set<String> all = new LinkedHashSet<>(members);
-        all.addAll(before);
+        all.addAll(previousMembers);
         return all;
     }
 
     /** Whether what these hold on disk outlives the losses that are to be borne: one more than may be lost. */
-    public boolean holds(Collection<String> ips) {
-        return enough(members, ips, needed(members)) && (before.isEmpty() || enough(before, ips, needed(before)));
+    public boolean isDurableOn(Collection<String> ips) {
+        return enough(members, ips, needed(members))
+                && (previousMembers.isEmpty() || enough(previousMembers, ips, needed(previousMembers)));
     }
 
-    /** Whether these have a machine in common with all sets that {@link #holds}. */
-    public boolean meets(Collection<String> ips) {
+    /** Whether these have a machine in common with all sets that {@link #isDurableOn}. */
+    public boolean intersectsDurableSets(Collection<String> ips) {
         return enough(members, ips, members.size() - needed(members) + 1)
-                && (before.isEmpty() || enough(before, ips, before.size() - needed(before) + 1));
+                && (previousMembers.isEmpty()
+                        || enough(previousMembers, ips, previousMembers.size() - needed(previousMembers) + 1));
     }
 
     /** Whether these are more than half. */
-    public boolean majority(Collection<String> ips) {
+    public boolean isMajority(Collection<String> ips) {
         return enough(members, ips, members.size() / 2 + 1)
-                && (before.isEmpty() || enough(before, ips, before.size() / 2 + 1));
+                && (previousMembers.isEmpty() || enough(previousMembers, ips, previousMembers.size() / 2 + 1));
     }
 
     /**
@@ -62,7 +64,7 @@
      */
     boolean completes(String self, Collection<String> complete, Collection<String> compared) {
         return completes(members, self, complete, compared)
-                && (before.isEmpty() || completes(before, self, complete, compared));
+                && (previousMembers.isEmpty() || completes(previousMembers, self, complete, compared));
     }
 
     private boolean completes(Set<String> list, String self, Collection<String> complete, Collection<String> compared) {
--- a/src/main/java/gorsemast/registry/Orders.java
+++ b/src/main/java/gorsemast/registry/Orders.java
@@ -3,7 +3,7 @@
 import gorsemast.gossip.Entry;
 import gorsemast.peer.Gossip;
 import gorsemast.peer.Neighbour;
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.LongSupplier;
@@ -45,12 +45,13 @@
     }
 
     /** An order of another registry: confirmed once it is on this disk, where that counts. */
-    void confirm(Neighbour from, Record.News news) {
-        int[] left = {news.items().size()};
-        for (Entry item : news.items()) {
+    void confirm(Neighbour from, PeerMessage.Updates news) {
+        int[] left = {news.entries().size()};
+        for (Entry item : news.entries()) {
             durable.keep(item, clock.getAsLong(), () -> {
                 if (--left[0] == 0 && quorum.counts()) {
-                    from.send(new Record.Held(news.order(), quorum.membership().term()));
+                    from.send(new PeerMessage.Persisted(
+                            news.commandId(), quorum.membership().term()));
                 }
             });
         }
@@ -72,7 +73,7 @@
 
     private void check(long number, Order order) {
         Membership membership = quorum.membership();
-        boolean enough = membership.holds(order.holders.entrySet().stream()
+        boolean enough = membership.isDurableOn(order.holders.entrySet().stream()
                 .filter(one -> one.getValue() <= membership.term())
                 .map(Map.Entry::getKey)
                 .toList());
--- a/src/main/java/gorsemast/registry/Quorum.java
+++ b/src/main/java/gorsemast/registry/Quorum.java
@@ -3,8 +3,8 @@
 import gorsemast.gossip.GossipState;
 import gorsemast.peer.Neighbour;
 import gorsemast.peer.Neighbours;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.HashSet;
 import java.util.Set;
 import java.util.function.LongSupplier;
@@ -54,12 +54,12 @@
 
     /** Whether this machine's disk counts: a member's that is complete. */
     boolean counts() {
-        return membership.has(self) && durable.complete();
+        return membership.contains(self) && durable.complete();
     }
 
     /** Whether a snapshot of now would make its disk complete; a disk that is no member's counts for nothing any more. */
     boolean completes() {
-        if (!membership.has(self)) {
+        if (!membership.contains(self)) {
             if (!membership.members().isEmpty()) {
                 durable.incomplete();
             }
@@ -74,20 +74,20 @@
     boolean reachesEnough() {
         long now = clock.getAsLong();
         Set<String> ips = new HashSet<>();
-        for (Neighbour one : neighbours.up(Program.REGISTRY)) {
-            if (lease.reached(now, one.peer().ip())) {
-                ips.add(one.peer().ip());
+        for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
+            if (lease.reached(now, one.hello().ip())) {
+                ips.add(one.hello().ip());
             }
         }
         ips.remove(self);
         if (counts()) {
             ips.add(self);
         }
-        return membership.holds(ips);
+        return membership.isDurableOn(ips);
     }
 
     /** The store has another view. Returns whether that is so. */
-    boolean members(Record.Members told) {
+    boolean members(PeerMessage.Members told) {
         Membership next = membership.next(told);
         boolean another = !next.equals(membership);
         membership = next;
@@ -107,26 +107,26 @@
             return;
         }
         compareAt = now + COMPARE_MICROS;
-        Record.Compare mine = new Record.Compare(now, board.digest());
+        PeerMessage.CompareRequest mine = new PeerMessage.CompareRequest(now, board.digest());
         Set<String> members = membership.all();
-        for (Neighbour one : neighbours.up(Program.REGISTRY)) {
-            if (members.contains(one.peer().ip())) {
+        for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
+            if (members.contains(one.hello().ip())) {
                 one.send(mine);
             }
         }
     }
 
     /** Takes what is about comparing news; returns whether it was. */
-    boolean received(Neighbour one, Record record) {
-        if (record instanceof Record.Compare compare) {
-            int parts = compare.buckets().length == 0 ? 0 : board.differing(compare.buckets());
-            one.send(new Record.Compared(compare.at(), membership.term(), counts(), parts));
-        } else if (record instanceof Record.Compared answer) {
-            lease.answered(one.peer().ip(), answer.at(), answer.term(), answer.complete(), answer.parts() == 0);
-            if (answer.parts() != 0) {
+    boolean received(Neighbour one, PeerMessage record) {
+        if (record instanceof PeerMessage.CompareRequest compare) {
+            int parts = compare.buckets().length == 0 ? 0 : board.differingBuckets(compare.buckets());
+            one.send(new PeerMessage.CompareResponse(compare.sentAt(), membership.term(), counts(), parts));
+        } else if (record instanceof PeerMessage.CompareResponse answer) {
+            lease.answered(one.hello().ip(), answer.sentAt(), answer.term(), answer.complete(), answer.buckets() == 0);
+            if (answer.buckets() != 0) {
                 // Links keep their order: what differs comes before the answer to the second question.
-                one.send(new Record.Summary(answer.parts(), true, board.stamps(answer.parts())));
-                one.send(new Record.Compare(clock.getAsLong(), NOTHING));
+                one.send(new PeerMessage.Summary(answer.buckets(), true, board.versions(answer.buckets())));
+                one.send(new PeerMessage.CompareRequest(clock.getAsLong(), NOTHING));
             }
         } else {
             return false;
--- a/src/main/java/gorsemast/registry/RegistryDisk.java
+++ b/src/main/java/gorsemast/registry/RegistryDisk.java
@@ -139,7 +139,7 @@
 
     /** Ends its thread and lets go of its file. */
     void close() {
-        Daemon.end(writer);
+        Daemon.shutDown(writer);
         journal.close();
     }
 
--- a/src/main/java/gorsemast/registry/RegistryNode.java
+++ b/src/main/java/gorsemast/registry/RegistryNode.java
@@ -5,15 +5,15 @@
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
 import gorsemast.gossip.GossipState;
-import gorsemast.gossip.MachineNews;
-import gorsemast.gossip.PurgeNews;
-import gorsemast.gossip.SpeedNews;
+import gorsemast.gossip.MachineInfo;
+import gorsemast.gossip.PurgeRequest;
+import gorsemast.gossip.SpeedReport;
 import gorsemast.logging.Log;
 import gorsemast.peer.Gossip;
 import gorsemast.peer.Neighbour;
 import gorsemast.peer.Neighbours;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.store.CallOutcome;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -63,19 +63,25 @@
      * @param losses how many disks may be lost at the same time
      * @param firstBoot whether all begin now with empty disks, which are as they should be then
      */
-    public record Self(
-            String ip, String zone, String control, long life, long beatMicros, int losses, boolean firstBoot) {}
+    public record Parameters(
+            String ip,
+            String zone,
+            String controlAddress,
+            long incarnation,
+            long heartbeatMicros,
+            int losses,
+            boolean firstBoot) {}
 
     /** What carries an office. */
-    public interface Carrier {
+    public interface Environment {
         /** Runs a task later, on the office's thread. */
-        void later(long micros, Runnable task);
+        void schedule(long micros, Runnable task);
 
         /**
          * Swaps the snapshot for this one, and lets go of what was appended before; {@code done} is told, on the office's
          * thread, whether it is synced.
          */
-        void remember(byte[] record, Consumer<Boolean> done);
+        void writeSnapshot(byte[] record, Consumer<Boolean> done);
 
         /** Appends to the journal; {@code synced} runs on the office's thread when it is on disk, or never. */
         void append(byte[] record, Runnable synced);
@@ -84,14 +90,14 @@
     /** A call that waits for the store. */
     private record Waiting(Configuration put, Reply reply, long sentAt, long until) {}
 
-    private final Self self;
+    private final Parameters self;
     private final LongSupplier clock;
     private final Neighbours neighbours;
-    private final Carrier carrier;
+    private final Environment carrier;
     private final GossipState board = new GossipState();
     private final HeartbeatTable registry;
     private final Gossip gossip;
-    private final Pool pool = new Pool();
+    private final SpeedAggregator pool = new SpeedAggregator();
     /** Telling who is silent: one registry does it for all. */
     private final LeaseElection telling;
 
@@ -114,29 +120,29 @@
      * @param remembers whether there is a disk to write to
      */
     public RegistryNode(
-            Self self,
+            Parameters self,
             Set<String> seeds,
             boolean remembers,
             long seed,
             LongSupplier clock,
             Neighbours neighbours,
-            Carrier carrier) {
+            Environment carrier) {
         this.self = self;
         this.clock = clock;
         this.neighbours = neighbours;
         this.carrier = carrier;
         this.random = new SplittableRandom(seed);
         this.begun = clock.getAsLong();
-        this.registry = new HeartbeatTable(board, self.beatMicros);
+        this.registry = new HeartbeatTable(board, self.heartbeatMicros);
         this.gossip = new Gossip(Program.REGISTRY, board, neighbours, clock, this::synced, this::news);
         this.durable = new DurableNews(board, carrier, remembers, self.firstBoot);
         this.quorum = new Quorum(self.ip, self.losses, board, durable, neighbours, clock);
         this.orders = new Orders(self.ip, quorum, durable, gossip, clock);
         this.telling = new LeaseElection(
-                self.ip, random.nextLong(), ips -> quorum.membership().majority(ips), (to, word, term, at) -> {
-                    Neighbour one = neighbours.at(Program.REGISTRY, to);
+                self.ip, random.nextLong(), ips -> quorum.membership().isMajority(ips), (to, word, term, at) -> {
+                    Neighbour one = neighbours.find(Program.REGISTRY, to);
                     if (one != null) {
-                        one.send(new Record.Ballot(word, term, at));
+                        one.send(new PeerMessage.Ballot(word, term, at));
                     }
                 });
         this.seeds.addAll(seeds);
@@ -147,17 +153,17 @@
     }
 
     /** The first word on each of its links. */
-    public Record.Hello hello() {
-        return new Record.Hello(Program.REGISTRY, self.ip, self.zone, self.control, self.life);
+    public PeerMessage.Hello hello() {
+        return new PeerMessage.Hello(Program.REGISTRY, self.ip, self.zone, self.controlAddress, self.incarnation);
     }
 
     /** All that it knows; only to be read. */
-    public GossipState board() {
+    public GossipState state() {
         return board;
     }
 
     /** Another list of core machines. */
-    public void seeds(Set<String> more) {
+    public void addSeeds(Set<String> more) {
         seeds.addAll(more);
     }
 
@@ -166,7 +172,7 @@
      */
     public boolean synced() {
         long now = now();
-        boolean heardAll = recalled || !self.firstBoot || now - begun > 2 * self.beatMicros;
+        boolean heardAll = recalled || !self.firstBoot || now - begun > 2 * self.heartbeatMicros;
         return heardAll && quorum.vouches();
     }
 
@@ -178,9 +184,9 @@
     private void news(Entry item) {
         durable.changed(item);
         if (item.kind() == Kind.SPEED) {
-            SpeedNews speeds = SpeedNews.of(item);
+            SpeedReport speeds = SpeedReport.fromEntry(item);
             if (speeds != null) {
-                pool.told(now(), speeds.edge(), speeds.servers());
+                pool.report(now(), speeds.edge(), speeds.servers());
             }
         }
     }
@@ -193,7 +199,7 @@
      * @param snapshot null for none
      * @param journal what was appended since, in order
      */
-    public void recall(byte[] snapshot, List<byte[]> journal) {
+    public void restore(byte[] snapshot, List<byte[]> journal) {
         List<Entry> items = durable.recall(snapshot, journal, now());
         items.forEach(item -> {
             board.merge(now(), item);
@@ -211,27 +217,27 @@
     public void tick() {
         long now = now();
         linkedMachines(now);
-        List<Record.Beat> beats = new ArrayList<>();
-        registry.heardHere().forEach((id, seq) -> beats.add(new Record.Beat(id, seq)));
+        List<PeerMessage.Heartbeat> beats = new ArrayList<>();
+        registry.takeLocalHeartbeats().forEach((id, seq) -> beats.add(new PeerMessage.Heartbeat(id, seq)));
         if (!beats.isEmpty()) {
-            neighbours.up(Program.REGISTRY).forEach(one -> one.send(new Record.Heard(beats)));
+            neighbours.connected(Program.REGISTRY).forEach(one -> one.send(new PeerMessage.Heartbeats(beats)));
         }
         telling.tick(now, reached());
-        if (telling.acts(now)) {
-            registry.silent(now).forEach(gossip::publish);
+        if (telling.isActive(now)) {
+            registry.detectSilent(now).forEach(gossip::publish);
         }
         gossip.tick();
-        board.forget(now);
-        registry.forget();
+        board.removeExpired(now);
+        registry.removeForgotten();
         durable.forget();
         orders.tick();
         quorum.tick();
         durable.tick(now, pool.changed(), quorum);
         if (pool.changed() && now >= poolAt) {
             poolAt = now + POOL_MICROS;
-            Record.Pooled sum = new Record.Pooled(pool.sum(now));
-            neighbours.up(Program.PROXY).forEach(one -> one.send(sum));
-            pool.passedOn();
+            PeerMessage.ServerSpeeds sum = new PeerMessage.ServerSpeeds(pool.aggregate(now));
+            neighbours.connected(Program.PROXY).forEach(one -> one.send(sum));
+            pool.markSent();
         }
         if (now >= askAt) {
             askAt = now + TICK_MICROS; // an answer puts it off
@@ -246,10 +252,10 @@
     }
 
     /** Addresses of the machines whose registries it wants links to. */
-    public Set<String> wanted() {
+    public Set<String> peerAddresses() {
         Set<String> wanted = new LinkedHashSet<>(seeds);
         for (Entry item : board.all(Kind.CORE)) {
-            MachineNews machine = MachineNews.of(item);
+            MachineInfo machine = MachineInfo.fromEntry(item);
             if (machine != null && machine.up()) {
                 wanted.add(machine.ip());
             }
@@ -259,14 +265,15 @@
     }
 
     private void linkedMachines(long now) {
-        for (Neighbour one : neighbours.up()) {
-            Record.Hello peer = one.peer();
+        for (Neighbour one : neighbours.connected()) {
+            PeerMessage.Hello peer = one.hello();
             Kind kind = peer.program() == Program.PROXY ? Kind.EDGE : Kind.CORE;
             if (peer.program() != Program.STORE) {
-                publish(registry.linked(now, kind, peer.ip(), peer.zone(), peer.control(), peer.life()));
+                publish(registry.machineConnected(
+                        now, kind, peer.ip(), peer.zone(), peer.controlAddress(), peer.incarnation()));
             }
         }
-        publish(registry.linked(now, Kind.CORE, self.ip, self.zone, self.control, self.life));
+        publish(registry.machineConnected(now, Kind.CORE, self.ip, self.zone, self.controlAddress, self.incarnation));
     }
 
     private void publish(Entry item) {
@@ -278,7 +285,9 @@
     /** Other machines with a registry that are reached now. */
     private Set<String> reached() {
         Set<String> ips = new LinkedHashSet<>();
-        neighbours.up(Program.REGISTRY).forEach(one -> ips.add(one.peer().ip()));
+        neighbours
+                .connected(Program.REGISTRY)
+                .forEach(one -> ips.add(one.hello().ip()));
         ips.remove(self.ip);
         return ips;
     }
@@ -292,28 +301,28 @@
         waiting.put(call, new Waiting(null, reply, now(), until));
         long known = held == null ? -1 : held.stamp();
         long knownTerm = held == null ? 0 : held.origin().term();
-        if (!toStore(new Record.Get(call, known, knownTerm)) && reply != null) {
+        if (!toStore(new PeerMessage.Get(call, known, knownTerm)) && reply != null) {
             waiting.remove(call);
             reply.answer(503, "the store is away", null);
         }
     }
 
-    private boolean toStore(Record record) {
-        Neighbour store = neighbours.at(Program.STORE, self.ip);
+    private boolean toStore(PeerMessage record) {
+        Neighbour store = neighbours.find(Program.STORE, self.ip);
         if (store != null) {
             store.send(record);
         }
         return store != null;
     }
 
-    private void answered(Record.Answer answer) {
+    private void answered(PeerMessage.StoreAnswer answer) {
         if (answer.outcome() != CallOutcome.UNCERTAIN) {
             holds(answer);
         }
-        if (answer.call() == 0) {
+        if (answer.callId() == 0) {
             return; // what the store holds, acknowledged or not: it was valid, so it may be in force
         }
-        Waiting call = waiting.remove(answer.call());
+        Waiting call = waiting.remove(answer.callId());
         if (call != null && answer.outcome() != CallOutcome.UNCERTAIN) {
             quorum.lease().storeAnswered(call.sentAt);
             askAt = Math.max(askAt, call.sentAt + ASK_MICROS);
@@ -337,7 +346,7 @@
     }
 
     /** Tells what the store says that it holds: never this registry's own copy of a call. */
-    private void holds(Record.Answer answer) {
+    private void holds(PeerMessage.StoreAnswer answer) {
         if (answer.body() != null && answer.version() > 0) {
             publish(Entry.configuration(answer.version(), answer.term(), answer.digest(), answer.body(), now()));
         }
@@ -348,15 +357,15 @@
     /** Runs a command of {@code size} bytes; the reply may come later, and comes once. */
     public void run(Command command, int size, Reply reply) {
         long now = now();
-        if (command instanceof Command.Beat beat) {
-            publish(registry.beat(now, beat.server()), reply);
+        if (command instanceof Command.Heartbeat beat) {
+            publish(registry.heartbeat(now, beat.server()), reply);
         } else if (command instanceof Command.Deregister leaving) {
             publish(registry.deregister(now, leaving.id()), reply);
         } else if (command instanceof Command.Purge purge) {
             String id = Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
             publish(
                     new HeartbeatTable.Outcome(
-                            new PurgeNews(id, purge.host(), purge.path(), purge.tag()).item(now), true),
+                            new PurgeRequest(id, purge.host(), purge.path(), purge.tag()).toEntry(now), true),
                     reply);
         } else if (command instanceof Command.Read) {
             ask(reply);
@@ -364,7 +373,7 @@
             long call = ++lastCall;
             Configuration wanted = replace.configuration();
             waiting.put(call, new Waiting(wanted, reply, now, now + (size > LARGE ? LARGE_CALL_MICROS : CALL_MICROS)));
-            if (!toStore(new Record.Put(call, wanted.version(), wanted.body()))) {
+            if (!toStore(new PeerMessage.Put(call, wanted.version(), wanted.body()))) {
                 waiting.remove(call);
                 reply.answer(503, "the store is away", null);
             }
@@ -377,44 +386,44 @@
      */
     private void publish(HeartbeatTable.Outcome outcome, Reply reply) {
         boolean promises = quorum.reachesEnough();
-        if (outcome == null || !promises || !outcome.waits()) {
+        if (outcome == null || !promises || !outcome.requiresReplication()) {
             if (outcome != null) {
-                gossip.publish(outcome.item());
+                gossip.publish(outcome.entry());
             }
             reply.answer(promises ? 200 : 503, promises ? null : "reaches too few other registries", null);
             return;
         }
-        Entry item = outcome.item();
+        Entry item = outcome.entry();
         orders.publish(item, CALL_MICROS, () -> {
-            registry.safe(item.key(), item.stamp());
+            registry.markReplicated(item.key(), item.stamp());
             reply.answer(200, null, null);
         });
-        carrier.later(CALL_MICROS, () -> reply.answer(503, "too few registries have it on disk", null));
+        carrier.schedule(CALL_MICROS, () -> reply.answer(503, "too few registries have it on disk", null));
     }
 
     // ---- neighbours
 
     /** A process has come into reach. */
-    public void up(Neighbour one) {
-        if (one.peer().program() == Program.STORE) {
+    public void connected(Neighbour one) {
+        if (one.hello().program() == Program.STORE) {
             askAt = 0;
             ask(null);
             return;
         }
-        gossip.up(one);
+        gossip.connected(one);
         quorum.up();
-        if (one.peer().program() == Program.PROXY) {
-            Map<String, double[]> sum = pool.sum(now());
+        if (one.hello().program() == Program.PROXY) {
+            Map<String, double[]> sum = pool.aggregate(now());
             if (!sum.isEmpty()) {
-                one.send(
-                        new Record.Pooled(sum)); // who has just started chooses servers no more blindly than the others
+                one.send(new PeerMessage.ServerSpeeds(
+                        sum)); // who has just started chooses servers no more blindly than the others
             }
         }
         linkedMachines(now());
     }
 
     /** It has said something. */
-    public void received(Neighbour one, Record record) {
+    public void received(Neighbour one, PeerMessage record) {
         if (quorum.received(one, record)) {
             if (quorum.completes()) {
                 durable.tick(now(), pool.changed(), quorum); // whoever is lost next, this disk has to count by then
@@ -422,20 +431,21 @@
             return;
         }
         if (gossip.received(one, record)) {
-            if (record instanceof Record.News news && news.order() != 0) {
+            if (record instanceof PeerMessage.Updates news && news.commandId() != 0) {
                 orders.confirm(one, news);
             }
             return;
         }
-        if (record instanceof Record.Heard heard) {
-            heard.beats().forEach(beat -> registry.heardElsewhere(now(), beat.id(), beat.seq()));
-        } else if (record instanceof Record.Ballot ballot) {
-            telling.said(now(), one.peer().ip(), ballot.word(), ballot.term(), ballot.at());
-        } else if (record instanceof Record.Answer answer) {
+        if (record instanceof PeerMessage.Heartbeats heard) {
+            heard.heartbeats().forEach(beat -> registry.heartbeatAtPeer(now(), beat.id(), beat.seq()));
+        } else if (record instanceof PeerMessage.Ballot ballot) {
+            telling.receive(now(), one.hello().ip(), ballot.type(), ballot.term(), ballot.sentAt());
+        } else if (record instanceof PeerMessage.StoreAnswer answer) {
             answered(answer);
-        } else if (record instanceof Record.Held held) {
-            orders.held(held.order(), one.peer().ip(), held.term());
-        } else if (record instanceof Record.Members members && one.peer().ip().equals(self.ip)) {
+        } else if (record instanceof PeerMessage.Persisted held) {
+            orders.held(held.commandId(), one.hello().ip(), held.term());
+        } else if (record instanceof PeerMessage.Members members
+                && one.hello().ip().equals(self.ip)) {
             if (quorum.members(members)) {
                 orders.membershipChanged();
                 quorum.tick(); // a new member compares at once: its disk counts only after that
--- a/src/main/java/gorsemast/registry/RegistryProgram.java
+++ b/src/main/java/gorsemast/registry/RegistryProgram.java
@@ -2,13 +2,13 @@
 
 import gorsemast.logging.Log;
 import gorsemast.node.Daemon;
-import gorsemast.node.Seed;
+import gorsemast.node.RandomSeed;
 import gorsemast.node.Settings;
 import gorsemast.peer.Link;
 import gorsemast.peer.Links;
 import gorsemast.peer.Neighbour;
+import gorsemast.peer.PeerMessage;
 import gorsemast.peer.Ports;
-import gorsemast.peer.Record;
 import gorsemast.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -24,7 +24,7 @@
  * The registry's program round its {@link RegistryNode}: the listener for servers and operators, links to the other registries,
  * to the store on its own machine, and from the proxies that have chosen it, and the disk. One event loop.
  */
-public final class RegistryProgram implements Daemon, Link.Receiver, RegistryNode.Carrier {
+public final class RegistryProgram implements Daemon, Link.Receiver, RegistryNode.Environment {
     private static final Log LOG = new Log("registry");
 
     private final Settings settings;
@@ -40,17 +40,17 @@
         this.loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
         this.links = new Links(loop, this::now, this::hello, this);
         this.office = new RegistryNode(
-                new RegistryNode.Self(
+                new RegistryNode.Parameters(
                         settings.ip(),
                         settings.zone(),
                         control(),
                         System.currentTimeMillis(),
-                        settings.beatMicros(),
+                        settings.heartbeatMicros(),
                         settings.losses(),
                         settings.firstBoot()),
                 settings.seedIps(),
                 settings.dataDir() != null,
-                Seed.fresh(),
+                RandomSeed.next(),
                 this::now,
                 links,
                 this);
@@ -60,18 +60,18 @@
         return (System.nanoTime() - origin) / 1_000;
     }
 
-    private Record.Hello hello() {
+    private PeerMessage.Hello hello() {
         return office.hello();
     }
 
     private String control() {
-        InetSocketAddress at = settings.listens().get("control");
+        InetSocketAddress at = settings.listenAddresses().get("control");
         return at == null ? "" : at.getAddress().getHostAddress() + ":" + at.getPort();
     }
 
     @Override
     public void start() throws IOException {
-        InetSocketAddress control = settings.listens().get("control");
+        InetSocketAddress control = settings.listenAddresses().get("control");
         if (control == null) {
             throw new IOException("listenAddrs.control: is missing");
         }
@@ -82,9 +82,9 @@
                     loop.execute(task);
                 }
             });
-            office.recall(disk.snapshot(), disk.journal());
+            office.restore(disk.snapshot(), disk.journal());
         }
-        links.listen(Ports.REGISTRY.at(settings, settings.ip()));
+        links.listen(Ports.REGISTRY.address(settings, settings.ip()));
         new ControlServer(loop, office::run).listen(control);
         loop.execute(this::tick);
         loop.scheduleWithFixedDelay(
@@ -93,7 +93,7 @@
 
     @Override
     public void reload(Settings changed) {
-        loop.execute(() -> office.seeds(changed.seedIps()));
+        loop.execute(() -> office.addSeeds(changed.seedIps()));
     }
 
     @Override
@@ -103,7 +103,7 @@
 
     @Override
     public void close() {
-        Daemon.end(loop);
+        Daemon.shutDown(loop);
         if (disk != null) {
             disk.close();
         }
@@ -112,24 +112,24 @@
     private void tick() {
         try {
             Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-            office.wanted().forEach(ip -> wanted.add(Ports.REGISTRY.at(settings, ip)));
-            wanted.add(Ports.STORE.at(settings, settings.ip()));
-            links.keep(wanted);
+            office.peerAddresses().forEach(ip -> wanted.add(Ports.REGISTRY.address(settings, ip)));
+            wanted.add(Ports.STORE.address(settings, settings.ip()));
+            links.setTargets(wanted);
             office.tick();
         } catch (RuntimeException e) {
-            LOG.fault(e);
+            LOG.internalError(e);
         }
     }
 
     // ---- what the office wants done
 
     @Override
-    public void later(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         loop.schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void remember(byte[] record, Consumer<Boolean> done) {
+    public void writeSnapshot(byte[] record, Consumer<Boolean> done) {
         disk.remember(record, done);
     }
 
@@ -141,17 +141,17 @@
     // ---- links
 
     @Override
-    public void up(Neighbour one) {
-        office.up(one);
+    public void connected(Neighbour one) {
+        office.connected(one);
     }
 
     @Override
-    public void down(Neighbour one) {
+    public void disconnected(Neighbour one) {
         // what it told holds on
     }
 
     @Override
-    public void received(Neighbour one, Record record) {
+    public void received(Neighbour one, PeerMessage record) {
         office.received(one, record);
     }
 }
--- a/src/main/java/gorsemast/registry/Pool.java
+++ b/src/main/java/gorsemast/registry/SpeedAggregator.java
@@ -13,7 +13,7 @@
  *
  * <p>O(edges) a server at each sum. One thread; times in microseconds.
  */
-public final class Pool {
+public final class SpeedAggregator {
     static final double MOST_SEEN = 20;
     static final long TOLD_MICROS = 20_000_000;
     private static final double LEAST = 0.33;
@@ -25,7 +25,7 @@
     private boolean changed;
 
     /** An edge has told: by server how many times as long as usual it takes, and by how many answers that is known. */
-    public void told(long now, String edge, Map<String, double[]> servers) {
+    public void report(long now, String edge, Map<String, double[]> servers) {
         edges.put(edge, new Told(servers, now));
         changed = true;
     }
@@ -36,12 +36,12 @@
     }
 
     /** The sum has been passed on to all. */
-    public void passedOn() {
+    public void markSent() {
         changed = false;
     }
 
     /** The sum over all edges, in the same form as they tell it; a new map. */
-    public Map<String, double[]> sum(long now) {
+    public Map<String, double[]> aggregate(long now) {
         edges.values().removeIf(told -> now - told.at > TOLD_MICROS);
         Map<String, double[]> all = new HashMap<>();
         for (Told told : edges.values()) {
--- a/src/main/java/gorsemast/registry/VouchingLease.java
+++ b/src/main/java/gorsemast/registry/VouchingLease.java
@@ -74,6 +74,6 @@
         if (complete) {
             ips.add(self);
         }
-        return store(now) && membership.meets(ips);
+        return store(now) && membership.intersectsDurableSets(ips);
     }
 }
--- a/src/main/java/gorsemast/retention/BodyBudget.java
+++ b/src/main/java/gorsemast/retention/BodyBudget.java
@@ -36,17 +36,17 @@
     private G grower;
 
     /** Room for so many bytes in all. */
-    public BodyBudget(long most) {
-        this.most = most;
+    public BodyBudget(long capacity) {
+        this.most = capacity;
     }
 
     /** The longest body that can ever be kept. */
-    public long most() {
+    public long capacity() {
         return most;
     }
 
     /** How many bytes are handed out. */
-    public long used() {
+    public long reserved() {
         return used;
     }
 
@@ -58,10 +58,10 @@
     /**
      * Asks for all the room of a body whose length is known, once.
      *
-     * @param bytes {@link #most} at most
+     * @param bytes {@link #capacity} at most
      * @return whether it has it; else {@link #release} names it when it does
      */
-    public boolean begin(G guest, long bytes) {
+    public boolean reserve(G guest, long bytes) {
         if (grow.isEmpty() && begin.isEmpty() && fits(bytes)) {
             take(guest, bytes);
             return true;
@@ -73,10 +73,10 @@
     /**
      * Asks for room of so many bytes in all for a body whose length is not known, again each time it has outgrown it.
      *
-     * @param bytes {@link #most} at most
+     * @param bytes {@link #capacity} at most
      * @return whether it has it; else {@link #release} names it when it does
      */
-    public boolean grow(G guest, long bytes) {
+    public boolean growTo(G guest, long bytes) {
         if ((grower == null || grower == guest) && fits(bytes - held.getOrDefault(guest, 0L))) {
             grower = guest;
             take(guest, bytes);
--- a/src/main/java/gorsemast/retention/Parting.java
+++ b/src/main/java/gorsemast/retention/SendBufferHandoff.java
@@ -24,7 +24,7 @@
  *
  * @param <G> an answer on its way
  */
-public final class Parting<G> {
+public final class SendBufferHandoff<G> {
     private final long most;
     private final long each;
     private final Set<G> given = new HashSet<>();
@@ -34,7 +34,7 @@
      * @param most bytes for all answers together
      * @param each bytes that one may have; a longer rest is not worth beginning with
      */
-    public Parting(long most, long each) {
+    public SendBufferHandoff(long most, long each) {
         this.most = most;
         this.each = each;
     }
@@ -44,7 +44,7 @@
      *
      * @param rests the bytes that are still to come from the node, negative where that is not known
      */
-    public List<G> next(Map<G, Long> rests) {
+    public List<G> select(Map<G, Long> rests) {
         List<G> chosen = new ArrayList<>();
         List<G> waiting = new ArrayList<>(rests.keySet());
         waiting.removeAll(given);
@@ -65,7 +65,7 @@
     }
 
     /** The answer is out of this process's hands, or has ended; what the system holds of it still counts. */
-    public void left(G answer) {
+    public void finished(G answer) {
         given.remove(answer);
     }
 }
--- a/src/main/java/gorsemast/retune/ClassBook.java
+++ b/src/main/java/gorsemast/retune/ClassNumbering.java
@@ -15,18 +15,18 @@
  * its own without a name that leads to it. Rules that were there before under the same name get their number back, and
  * with it what was learned of them; going to and fro between two configurations costs nothing.
  *
- * <p><b>Bounds.</b> {@link #MOST} numbers; a configuration that needs more is turned down, and a restart begins anew.
+ * <p><b>Bounds.</b> {@link #MAX_CLASSES} numbers; a configuration that needs more is turned down, and a restart begins anew.
  * Immutable.
  */
-public final class ClassBook {
+public final class ClassNumbering {
     /** Each number costs the module some 100 bytes a cache node. */
-    public static final int MOST = 256;
+    public static final int MAX_CLASSES = 256;
 
     private final List<String> nameOf;
     private final List<RequestClass> rules;
     private final Map<String, Integer> numbers;
 
-    private ClassBook(List<String> nameOf, List<RequestClass> rules, Map<String, Integer> numbers) {
+    private ClassNumbering(List<String> nameOf, List<RequestClass> rules, Map<String, Integer> numbers) {
         this.nameOf = List.copyOf(nameOf);
         this.rules = List.copyOf(rules);
         this.numbers = numbers;
@@ -35,10 +35,10 @@
     /**
      * The book of a first configuration, numbered in its order.
      *
-     * @throws IllegalArgumentException where there is no class, a name stands twice or there are more than {@link #MOST}
+     * @throws IllegalArgumentException where there is no class, a name stands twice or there are more than {@link #MAX_CLASSES}
      */
-    public static ClassBook of(List<String> names, List<RequestClass> rules) {
-        return new ClassBook(List.of(), List.of(), Map.of()).with(names, rules);
+    public static ClassNumbering of(List<String> names, List<RequestClass> rules) {
+        return new ClassNumbering(List.of(), List.of(), Map.of()).with(names, rules);
     }
 
     /**
@@ -46,7 +46,7 @@
      *
      * @throws IllegalArgumentException as {@link #of}
      */
-    public ClassBook with(List<String> names, List<RequestClass> changed) {
+    public ClassNumbering with(List<String> names, List<RequestClass> changed) {
         if (names.isEmpty()) {
             throw new IllegalArgumentException("there is no class");
         }
@@ -64,10 +64,11 @@
                 throw new IllegalArgumentException("two classes are named " + names.get(i));
             }
         }
-        if (allNames.size() > MOST) {
-            throw new IllegalArgumentException("more than " + MOST + " classes since the start; a restart is needed");
+        if (allNames.size() > MAX_CLASSES) {
+            throw new IllegalArgumentException(
+                    "more than " + MAX_CLASSES + " classes since the start; a restart is needed");
         }
-        return new ClassBook(allNames, allRules, present);
+        return new ClassNumbering(allNames, allRules, present);
     }
 
     private int find(String name, RequestClass wanted) {
--- a/src/main/java/gorsemast/retune/Shape.java
+++ b/src/main/java/gorsemast/retune/ConfigurationShape.java
@@ -13,8 +13,8 @@
  *
  * <p><b>When it could hurt.</b> A platform that takes a key out for good needs a restart of the proxies.
  */
-public final class Shape {
-    private Shape() {}
+public final class ConfigurationShape {
+    private ConfigurationShape() {}
 
     /**
      * Returns where {@code next} has the keys of {@code present}.
--- a/src/main/java/gorsemast/simulation/Clients.java
+++ b/src/main/java/gorsemast/simulation/Clients.java
@@ -1,7 +1,7 @@
 package gorsemast.simulation;
 
 import gorsemast.configuration.Configuration;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/gorsemast/simulation/Codec.java
+++ b/src/main/java/gorsemast/simulation/Codec.java
@@ -1,6 +1,6 @@
 package gorsemast.simulation;
 
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -11,7 +11,7 @@
 final class Codec {
     private Codec() {}
 
-    static byte[] bytes(Record record, long now) {
+    static byte[] bytes(PeerMessage record, long now) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             record.write(out, now);
@@ -21,9 +21,9 @@
         return bytes.toByteArray();
     }
 
-    static Record record(byte[] bytes, long now) {
+    static PeerMessage record(byte[] bytes, long now) {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
-            return Record.read(in, now);
+            return PeerMessage.read(in, now);
         } catch (IOException e) {
             throw new Broken("RECORD", "a record can't be read: " + e.getMessage());
         }
--- a/src/main/java/gorsemast/simulation/CoreProcesses.java
+++ b/src/main/java/gorsemast/simulation/CoreProcesses.java
@@ -4,14 +4,14 @@
 import gorsemast.configuration.ContentDigest;
 import gorsemast.node.FaultTolerance;
 import gorsemast.peer.Neighbour;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
-import gorsemast.registry.CallException;
-import gorsemast.registry.Calls;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.registry.Command;
+import gorsemast.registry.CommandDecoder;
+import gorsemast.registry.CommandException;
 import gorsemast.registry.RegistryNode;
 import gorsemast.store.CallOutcome;
-import gorsemast.store.Place;
+import gorsemast.store.Location;
 import gorsemast.store.ReplicaState;
 import gorsemast.store.StoreNode;
 import java.util.ArrayDeque;
@@ -25,7 +25,7 @@
     private CoreProcesses() {}
 
     /** A registry. */
-    static final class Registry extends Process implements RegistryNode.Carrier {
+    static final class Registry extends Process implements RegistryNode.Environment {
         final RegistryNode office;
         private final PlantedRegistry.Own own = new PlantedRegistry.Own();
         /** The last configuration that an operator sent here. */
@@ -38,7 +38,7 @@
         Registry(World world, Machine machine, boolean firstBoot) {
             super(world, machine, Program.REGISTRY);
             this.office = new RegistryNode(
-                    new RegistryNode.Self(
+                    new RegistryNode.Parameters(
                             machine.ip,
                             machine.zone,
                             machine.ip + ":80",
@@ -52,13 +52,13 @@
                     this::now,
                     this,
                     this);
-            office.recall(machine.disk.known, machine.disk.journal);
+            office.restore(machine.disk.known, machine.disk.journal);
             each(RegistryNode.TICK_MICROS, this::tick);
         }
 
         private void tick() {
             Set<Target> wanted = new LinkedHashSet<>();
-            office.wanted().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
+            office.peerAddresses().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
             wanted.add(new Target(Program.STORE, machine.ip));
             keep(wanted);
             office.tick();
@@ -67,30 +67,30 @@
         /** A call from outside. */
         void call(String method, String path, byte[] body, RegistryNode.Reply reply) {
             try {
-                Command command = Calls.decode(method, path, body);
+                Command command = CommandDecoder.decode(method, path, body);
                 own.ordered(command);
                 sent = command instanceof Command.Replace replace ? replace.configuration() : sent;
                 if (!PlantedRegistry.answers(world.plant, office, command, reply)) {
                     office.run(command, body.length, reply);
                 }
-            } catch (CallException e) {
+            } catch (CommandException e) {
                 reply.answer(e.code().status(), e.getMessage(), null);
             }
         }
 
         @Override
-        Record planted(Record record) {
+        PeerMessage planted(PeerMessage record) {
             return world.plant == Plant.TELLS_ITS_OWN ? own.told(record) : record;
         }
 
         @Override
-        Record.Hello hello() {
+        PeerMessage.Hello hello() {
             return office.hello();
         }
 
         @Override
         void linked(Neighbour one) {
-            office.up(one);
+            office.connected(one);
         }
 
         @Override
@@ -99,32 +99,32 @@
         }
 
         @Override
-        void heardFrom(Neighbour one, Record record) {
-            office.received(one, record instanceof Record.Answer answer ? planted(answer) : record);
+        void heardFrom(Neighbour one, PeerMessage record) {
+            office.received(one, record instanceof PeerMessage.StoreAnswer answer ? planted(answer) : record);
         }
 
-        private Record planted(Record.Answer answer) {
+        private PeerMessage planted(PeerMessage.StoreAnswer answer) {
             boolean conflict = answer.outcome() == CallOutcome.CONFLICT;
             if (world.plant == Plant.CONFLICT_SAYS_DONE && conflict) {
-                return new Record.Answer(
-                        answer.call(), CallOutcome.DONE, answer.version(), answer.term(), answer.digest(), null);
+                return new PeerMessage.StoreAnswer(
+                        answer.callId(), CallOutcome.DONE, answer.version(), answer.term(), answer.digest(), null);
             }
-            boolean mine = sent != null && sent.version() == answer.version() && answer.call() != 0;
+            boolean mine = sent != null && sent.version() == answer.version() && answer.callId() != 0;
             if (world.plant == Plant.PUBLISHES_ITS_OWN && mine && answer.outcome() != CallOutcome.UNCERTAIN) {
                 ContentDigest digest = ContentDigest.of(sent.body());
-                return new Record.Answer(
-                        answer.call(), answer.outcome(), answer.version(), answer.term(), digest, sent.body());
+                return new PeerMessage.StoreAnswer(
+                        answer.callId(), answer.outcome(), answer.version(), answer.term(), digest, sent.body());
             }
             return answer;
         }
 
         @Override
-        public void later(long micros, Runnable task) {
+        public void schedule(long micros, Runnable task) {
             after(micros, task);
         }
 
         @Override
-        public void remember(byte[] record, Consumer<Boolean> done) {
+        public void writeSnapshot(byte[] record, Consumer<Boolean> done) {
             int holds = written;
             onDisk(() -> {
                 machine.disk.known = record;
@@ -188,10 +188,10 @@
             super(world, machine, Program.STORE);
             this.disk = machine.disk;
             if (disk.saved == null) {
-                disk.saved = ReplicaState.fresh(machine.ip, world.seeds(), firstBoot, world.random.nextLong());
+                disk.saved = ReplicaState.initial(machine.ip, world.seeds(), firstBoot, world.random.nextLong());
             }
             FaultTolerance borne = FaultTolerance.ofMachines(world.losses());
-            Place place = new Place(machine.zone, "", true);
+            Location place = new Location(machine.zone, "", true);
             long seed = world.random.nextLong();
             Set<String> seeds = world.seeds();
             this.teller = world.plant == Plant.WAITS_FOR_ANY_DISK
@@ -204,7 +204,7 @@
         private void tick() {
             teller.tick();
             Set<Target> wanted = new LinkedHashSet<>();
-            teller.wanted().forEach(ip -> wanted.add(new Target(Program.STORE, ip)));
+            teller.peerAddresses().forEach(ip -> wanted.add(new Target(Program.STORE, ip)));
             keep(wanted);
         }
 
@@ -243,7 +243,7 @@
         }
 
         private void awaitSuccessor(long until) {
-            if (teller.left() || now() > until) {
+            if (teller.mayStop() || now() > until) {
                 end(false);
             } else {
                 after(StoreNode.TICK_MICROS, () -> awaitSuccessor(until));
@@ -265,7 +265,7 @@
         }
 
         @Override
-        Record.Hello hello() {
+        PeerMessage.Hello hello() {
             return StoreNode.hello(machine.ip, machine.zone);
         }
 
@@ -280,7 +280,7 @@
         }
 
         @Override
-        void heardFrom(Neighbour one, Record record) {
+        void heardFrom(Neighbour one, PeerMessage record) {
             teller.received(one, record);
         }
     }
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -1,23 +1,23 @@
 package gorsemast.simulation;
 
-import gorsemast.cache.Copy;
-import gorsemast.cache.CopyCache;
-import gorsemast.cache.Fetching;
-import gorsemast.cache.HomeAnswer;
-import gorsemast.cache.HomeQuestion;
+import gorsemast.cache.CachedResponse;
+import gorsemast.cache.FetchCoordinator;
+import gorsemast.cache.HomeRequest;
+import gorsemast.cache.HomeResponseListener;
+import gorsemast.cache.ObjectRequest;
 import gorsemast.cache.ObjectSources;
 import gorsemast.cache.ObjectWaiter;
-import gorsemast.cache.ServerAnswer;
-import gorsemast.cache.WantedObject;
+import gorsemast.cache.ResponseCache;
+import gorsemast.cache.ServerResponseListener;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
-import gorsemast.dispatch.Briefing;
-import gorsemast.dispatch.Crowd;
+import gorsemast.dispatch.EdgeSharing;
+import gorsemast.dispatch.ModuleConfiguration;
 import gorsemast.gossip.Entry;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.ServerInfo;
 import gorsemast.peer.Neighbour;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.proxy.ProxyNode;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -29,10 +29,10 @@
 import java.util.function.Consumer;
 
 /**
- * An edge's program round its decisions: {@link ProxyNode}, {@link Fetching}, and a sender for each service. Requests and
+ * An edge's program round its decisions: {@link ProxyNode}, {@link FetchCoordinator}, and a sender for each service. Requests and
  * answers between edges and servers are calls in virtual time where HTTP stands in service.
  */
-final class Edge extends Process implements ProxyNode.Follower, ObjectSources<String> {
+final class Edge extends Process implements ProxyNode.Listener, ObjectSources<String> {
     private static final long OBJECT_MICROS = 1_500_000;
 
     /** How a client's request ended. */
@@ -47,7 +47,7 @@
     record Answer(Told told, long version, boolean copy) {}
 
     final ProxyNode lookout;
-    private final Fetching<String> fetching;
+    private final FetchCoordinator<String> fetching;
     private final Map<String, EdgeSender> senders = new HashMap<>();
     boolean leaving;
     /** The highest version that anybody has seen the effect of in this life. */
@@ -64,12 +64,12 @@
         super(world, machine, Program.PROXY);
         this.lookout =
                 new ProxyNode(machine.ip, machine.zone, 2, 2, wall(), world.seeds(), this::now, this, this::seen, this);
-        this.fetching = new Fetching<>(
+        this.fetching = new FetchCoordinator<>(
                 machine.ip,
                 this::now,
-                new CopyCache(1 << 20),
+                new ResponseCache(1 << 20),
                 lookout.homes(),
-                lookout.board(),
+                lookout.gossipState(),
                 World.WINDOW_MICROS,
                 Double.POSITIVE_INFINITY,
                 world.random.nextLong(),
@@ -91,7 +91,7 @@
 
     private Map<String, double[]> seen() {
         Map<String, double[]> all = new HashMap<>();
-        senders.values().forEach(sender -> sender.briefing.seen(all));
+        senders.values().forEach(sender -> sender.briefing.collectObservations(all));
         return all;
     }
 
@@ -137,9 +137,9 @@
         } else if (route == null) {
             answer.accept(new Answer(Told.NO_ROUTE, 0, false));
         } else if (route.kind() == Route.Kind.CACHEABLE) {
-            object(new WantedObject(route, World.HOST, path), answer);
+            object(new ObjectRequest(route, World.HOST, path), answer);
         } else {
-            EdgeSender sender = senders.get(route.service(world.random.nextDouble()));
+            EdgeSender sender = senders.get(route.selectService(world.random.nextDouble()));
             if (sender == null) {
                 answer.accept(new Answer(Told.REFUSED, 0, false));
                 return;
@@ -159,8 +159,8 @@
         }
     }
 
-    private void object(WantedObject what, Consumer<Answer> answer) {
-        Copy held = fetching.held(what);
+    private void object(ObjectRequest what, Consumer<Answer> answer) {
+        CachedResponse held = fetching.lookUp(what);
         if (held != null) {
             answer.accept(new Answer(Told.SERVED, version(held), true));
             return;
@@ -172,7 +172,7 @@
                 answer.accept(new Answer(Told.FAILED, 0, false));
             }
         });
-        fetching.ask(what, Fetching.ASKED_BY_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
+        fetching.request(what, FetchCoordinator.HOP_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
             private void end(Answer with) {
                 if (!over[0]) {
                     over[0] = true;
@@ -181,55 +181,55 @@
             }
 
             @Override
-            public void here(Copy copy, boolean once) {
+            public void onResponse(CachedResponse copy, boolean once) {
                 end(new Answer(Told.SERVED, version(copy), true));
             }
 
             @Override
-            public void other(String status) {
+            public void onUncacheable(String status) {
                 end(new Answer(Told.FAILED, 0, false));
             }
 
             @Override
-            public void refused(long retryAfterMicros) {
+            public void onRefused(long retryAfterMicros) {
                 end(new Answer(Told.REFUSED, 0, false));
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 end(new Answer(Told.FAILED, 0, false));
             }
 
             @Override
-            public void tooLong() {
+            public void onTooLong() {
                 end(new Answer(Told.FAILED, 0, false));
             }
 
             @Override
-            public void inHand() {
+            public void onStillFetching() {
                 throw new IllegalStateException("only edges are told so");
             }
         });
     }
 
-    private static long version(Copy copy) {
+    private static long version(CachedResponse copy) {
         return ByteBuffer.wrap(copy.body()).getLong();
     }
 
-    private static Copy copy(long version, long asked, long ttl) {
-        return new Copy(
+    private static CachedResponse copy(long version, long asked, long ttl) {
+        return new CachedResponse(
                 200, List.of(), ByteBuffer.allocate(Long.BYTES).putLong(version).array(), Set.of("all"), asked, ttl);
     }
 
     // ---- objects, from homes and servers
 
     @Override
-    public void home(HomeQuestion question, HomeAnswer<String> ending) {
+    public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
         boolean[] over = new boolean[1];
-        after(question.patience(), () -> {
+        after(question.responseTimeout(), () -> {
             if (!over[0]) {
                 over[0] = true;
-                ending.silent(false);
+                ending.onSilent(false);
             }
         });
         world.message(machine, question.edge(), Program.PROXY, there -> ((Edge) there)
@@ -239,10 +239,10 @@
                             if (here == this && !over[0]) {
                                 over[0] = true;
                                 switch (end) {
-                                    case COPY -> ending.copy(copy(version, question.begun() - age, ttl));
-                                    case USELESS -> ending.useless();
-                                    case IN_HAND -> ending.inHand();
-                                    case REFUSED -> ending.refused(Fetching.LATER_MICROS);
+                                    case COPY -> ending.copy(copy(version, question.fetchStartedAt() - age, ttl));
+                                    case USELESS -> ending.onUnusable();
+                                    case IN_HAND -> ending.onStillFetching();
+                                    case REFUSED -> ending.onRefused(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
                                 }
                             }
                         })));
@@ -265,94 +265,95 @@
         }
     }
 
-    private void asked(HomeQuestion question, Handed handed) {
-        WantedObject what = question.what();
+    private void asked(HomeRequest question, Handed handed) {
+        ObjectRequest what = question.object();
         Configuration now = lookout.configuration();
         Route route = now == null ? null : now.route(what.host(), what.uri());
         if (route == null || route.kind() != Route.Kind.CACHEABLE) {
             handed.answer(HomeEnd.USELESS);
             return;
         }
-        fetching.ask(
-                new WantedObject(route, what.host(), what.uri()),
+        fetching.request(
+                new ObjectRequest(route, what.host(), what.uri()),
                 question.hop(),
-                now() + question.patience(),
+                now() + question.responseTimeout(),
                 new ObjectWaiter<>() {
                     @Override
-                    public void here(Copy copy, boolean once) {
-                        boolean inStep = !once && lookout.board().purgeDigest() == question.step();
+                    public void onResponse(CachedResponse copy, boolean once) {
+                        boolean inStep = !once && lookout.gossipState().purgeDigest() == question.purgeDigest();
                         if (inStep) {
-                            handed.answer(HomeEnd.COPY, version(copy), now() - copy.asked(), copy.ttl());
+                            handed.answer(HomeEnd.COPY, version(copy), now() - copy.requestedAt(), copy.ttlMicros());
                         } else {
                             handed.answer(HomeEnd.USELESS);
                         }
                     }
 
                     @Override
-                    public void other(String status) {
+                    public void onUncacheable(String status) {
                         handed.answer(HomeEnd.USELESS);
                     }
 
                     @Override
-                    public void refused(long retryAfterMicros) {
+                    public void onRefused(long retryAfterMicros) {
                         handed.answer(HomeEnd.REFUSED);
                     }
 
                     @Override
-                    public void failed() {
+                    public void onFailed() {
                         handed.answer(HomeEnd.USELESS);
                     }
 
                     @Override
-                    public void tooLong() {
+                    public void onTooLong() {
                         handed.answer(HomeEnd.USELESS);
                     }
 
                     @Override
-                    public void inHand() {
+                    public void onStillFetching() {
                         handed.answer(HomeEnd.IN_HAND);
                     }
                 });
     }
 
     @Override
-    public boolean servers(String service, WantedObject what, long asked, long giveUp, ServerAnswer<String> ending) {
+    public boolean requestFromServers(
+            String service, ObjectRequest what, long asked, long giveUp, ServerResponseListener<String> ending) {
         EdgeSender sender = senders.get(service);
         if (sender == null) {
             return false;
         }
         sender.take("o" + Long.toHexString(world.random.nextLong()), what.route(), what.uri(), giveUp, true, result -> {
             if (!result.sent()) {
-                ending.notSent(Fetching.LATER_MICROS);
+                ending.onNotSent(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
                 return;
             }
             switch (result.code()) {
                 case SERVED ->
                     ending.copy(copy(result.version(), asked, what.route().ttlMicros()));
-                case REFUSED -> ending.refused(300_000);
-                case ANSWERED_ERROR -> ending.other("500");
-                default -> ending.failed();
+                case REFUSED -> ending.onRefused(300_000);
+                case ANSWERED_ERROR -> ending.onUncacheable("500");
+                default -> ending.onFailed();
             }
         });
         return true;
     }
 
     boolean another(String service) {
-        return fetching.another(service);
+        return fetching.tryAcquirePermit(service);
     }
 
     @Override
-    public void later(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         after(micros, task);
     }
 
     @Override
-    public int fetchers(String service) {
-        return Crowd.homes(lookout.homes().count(), World.CONNECTIONS, perSecond(service));
+    public int fetcherCount(String service) {
+        return EdgeSharing.fetcherCount(lookout.homes().edgeCount(), World.CONNECTIONS, serverRatePerSecond(service));
     }
 
     @Override
-    public double perSecond(String service) {
+    public double serverRatePerSecond(String service) {
         Configuration now = lookout.configuration();
         Configuration.Service known = now == null ? null : now.services().get(service);
         return known == null || world.plant == Plant.NO_CEILING ? Double.POSITIVE_INFINITY : known.ratePerSecond();
@@ -361,34 +362,35 @@
     // ---- what the lookout tells
 
     @Override
-    public void configured(Configuration now, int edges) {
-        now.byService().forEach((service, of) -> {
+    public void configurationChanged(Configuration now, int edges) {
+        now.routesByService().forEach((service, of) -> {
             EdgeSender sender = senders.get(service);
             if (sender == null) {
                 senders.put(
                         service,
-                        new EdgeSender(this, service, new Briefing(machine.ip, 100, World.BUDGET, 0, of, edges)));
+                        new EdgeSender(
+                                this, service, new ModuleConfiguration(machine.ip, 100, World.BUDGET, 0, of, edges)));
             } else {
                 sender.retune(of, edges);
             }
             senders.get(service)
                     .briefing
-                    .shared(
+                    .setConnectionLimit(
                             World.CONNECTIONS,
-                            service.equals(World.OBJECTS) ? Math.min(edges, fetchers(service)) : edges);
+                            service.equals(World.OBJECTS) ? Math.min(edges, fetcherCount(service)) : edges);
         });
     }
 
     @Override
-    public void servers(Map<String, List<ServerNews>> by, Map<String, Long> coldUntil) {
+    public void serversChanged(Map<String, List<ServerInfo>> by, Map<String, Long> coldUntil) {
         by.forEach((service, known) -> {
             EdgeSender sender = senders.get(service);
             if (sender != null) {
-                List<ServerNews> told = known;
+                List<ServerInfo> told = known;
                 if (world.plant == Plant.SENDS_TO_LEAVING) {
                     told = known.stream()
-                            .map(one -> one.state() == ServerNews.State.DRAINING
-                                    ? one.in(ServerNews.State.READY, one.seq())
+                            .map(one -> one.state() == ServerInfo.State.DRAINING
+                                    ? one.withState(ServerInfo.State.READY, one.seq())
                                     : one)
                             .toList();
                 }
@@ -399,23 +401,23 @@
 
     @Override
     public void purged(Entry purge) {
-        fetching.purged(purge);
+        fetching.applyPurge(purge);
     }
 
     @Override
-    public void speeds(Map<String, double[]> pooled) {
+    public void speedsReceived(Map<String, double[]> pooled) {
         senders.values().forEach(sender -> sender.heard(pooled));
     }
 
     @Override
-    public void afterwards(Runnable task) {
+    public void runAfterwards(Runnable task) {
         after(0, task);
     }
 
     // ---- links
 
     @Override
-    Record.Hello hello() {
+    PeerMessage.Hello hello() {
         return lookout.hello();
     }
 
@@ -430,11 +432,11 @@
     }
 
     @Override
-    void heardFrom(Neighbour one, Record record) {
-        boolean mends = record instanceof Record.Digest || record instanceof Record.Summary;
+    void heardFrom(Neighbour one, PeerMessage record) {
+        boolean mends = record instanceof PeerMessage.Digest || record instanceof PeerMessage.Summary;
         if (world.plant == Plant.MENDS_NOTHING
                 && lookout.ready()
-                && (mends || record instanceof Record.News && world.random.nextBoolean())) {
+                && (mends || record instanceof PeerMessage.Updates && world.random.nextBoolean())) {
             return;
         }
         lookout.received(one, record);
--- a/src/main/java/gorsemast/simulation/EdgeConnections.java
+++ b/src/main/java/gorsemast/simulation/EdgeConnections.java
@@ -2,7 +2,7 @@
 
 import anisebend.Balancer.Code;
 import gorsemast.http.ConnectionState;
-import gorsemast.http.Whose;
+import gorsemast.http.ResponseMatch;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -44,7 +44,7 @@
         Deque<Connection> kept = idle.computeIfAbsent(message.target(), target -> new ArrayDeque<>());
         while (!kept.isEmpty()) {
             Connection one = message.unsafe() ? kept.pollLast() : kept.pollFirst();
-            if (one.state.mayCarry(message.attempt(), false)) {
+            if (one.state.canCarry(message.attempt(), false)) {
                 return one;
             }
         }
@@ -56,9 +56,9 @@
         Plant plant = edge.world.plant;
         return new ConnectionState() {
             @Override
-            public Take head(Whose whose, boolean interim, boolean notRun, boolean served) {
-                boolean any = plant == Plant.TAKES_NAMELESS_ANSWERS && whose == Whose.NOBODY;
-                return super.head(any ? Whose.NAMED : whose, interim, notRun, served);
+            public Disposition head(ResponseMatch whose, boolean interim, boolean notRun, boolean served) {
+                boolean any = plant == Plant.TAKES_NAMELESS_ANSWERS && whose == ResponseMatch.UNIDENTIFIED;
+                return super.head(any ? ResponseMatch.BY_ID : whose, interim, notRun, served);
             }
 
             @Override
@@ -95,7 +95,7 @@
             if (ending != told) {
                 return;
             }
-            state.lastByteLeaves();
+            state.lastByteSent();
             if (!forgotten) {
                 edge.world.referee.sent(edge, message);
                 edge.world.servers.send(
@@ -121,9 +121,11 @@
                 lost();
                 return;
             }
-            Whose whose = reply.told() == null
-                    ? Whose.NOBODY
-                    : message != null && reply.told().equals(message.attempt()) ? Whose.NAMED : Whose.OTHER;
+            ResponseMatch whose = reply.told() == null
+                    ? ResponseMatch.UNIDENTIFIED
+                    : message != null && reply.told().equals(message.attempt())
+                            ? ResponseMatch.BY_ID
+                            : ResponseMatch.OTHER_REQUEST;
             Code code =
                     switch (reply.answer()) {
                         case OK -> Code.OK;
@@ -131,15 +133,15 @@
                         case MISDIRECTED -> Code.CONNECT_FAILED;
                         default -> Code.ERROR;
                     };
-            ConnectionState.Take take = state.head(whose, false, !code.mayHaveRun, code == Code.OK);
-            if (take == ConnectionState.Take.BROKEN) {
+            ConnectionState.Disposition take = state.head(whose, false, !code.mayHaveRun, code == Code.OK);
+            if (take == ConnectionState.Disposition.BROKEN) {
                 lost();
                 return;
             }
             state.part(true);
-            if (state.readDone(false) == ConnectionState.Done.WHOLE) {
+            if (state.readDone(false) == ConnectionState.ReadOutcome.WHOLE) {
                 edge.world.referee.owns(edge, message, reply);
-                end(code, reply, state.answered(true));
+                end(code, reply, state.completed(true));
             }
         }
 
--- a/src/main/java/gorsemast/simulation/EdgeSender.java
+++ b/src/main/java/gorsemast/simulation/EdgeSender.java
@@ -1,16 +1,16 @@
 package gorsemast.simulation;
 
 import anisebend.Balancer;
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
-import anisebend.Decide;
+import anisebend.BalancingPolicy;
 import gorsemast.configuration.Route;
-import gorsemast.dispatch.Briefing;
 import gorsemast.dispatch.CallState;
-import gorsemast.dispatch.Server;
-import gorsemast.gossip.ServerNews;
-import gorsemast.http.Turns;
+import gorsemast.dispatch.ModuleConfiguration;
+import gorsemast.dispatch.ServerInstance;
+import gorsemast.gossip.ServerInfo;
+import gorsemast.http.RunToCompletionQueue;
 import java.util.Collection;
 import java.util.HashMap;
 import java.util.List;
@@ -30,7 +30,7 @@
     /** An end, with an object's version where it was served, and whether an attempt has gone out. */
     record Result(End code, long version, boolean sent) {}
 
-    private static final long BACKSTOP_MICROS = CallState.BACKSTOP_MICROS;
+    private static final long BACKSTOP_MICROS = CallState.ANSWER_RESERVE_MICROS;
 
     private static final class Exchange {
         private final String id;
@@ -64,43 +64,43 @@
         }
     }
 
-    final Briefing briefing;
+    final ModuleConfiguration briefing;
     private final Edge edge;
     private final EdgeConnections connections;
     private final String service;
-    private final Balancer module = new Decide(this);
-    private final Turns turns;
+    private final Balancer module = new BalancingPolicy(this);
+    private final RunToCompletionQueue turns;
     private final Map<String, Exchange> open = new HashMap<>();
     private long sequence;
 
-    EdgeSender(Edge edge, String service, Briefing briefing) {
+    EdgeSender(Edge edge, String service, ModuleConfiguration briefing) {
         this.edge = edge;
         this.connections = new EdgeConnections(edge);
         this.service = service;
         this.briefing = briefing;
-        this.turns = new Turns(fault -> {
+        this.turns = new RunToCompletionQueue(fault -> {
             throw fault;
         });
         turns.event(() -> module.start(edge.now(), edge.world.random.nextLong(), briefing.settings()));
     }
 
     void retune(List<Route> routes, int edges) {
-        if (briefing.retune(routes, edges)) {
-            turns.event(() -> module.retune(edge.now(), briefing.settings()));
+        if (briefing.updateRoutes(routes, edges)) {
+            turns.event(() -> module.reconfigure(edge.now(), briefing.settings()));
         }
     }
 
-    void servers(Collection<ServerNews> news, Map<String, Long> coldUntil) {
-        briefing.servers(edge.now(), news, coldUntil, zone -> 0);
+    void servers(Collection<ServerInfo> news, Map<String, Long> coldUntil) {
+        briefing.updateServers(edge.now(), news, coldUntil, zone -> 0);
         tell();
     }
 
     private void tell() {
-        turns.event(() -> module.servers(edge.now(), ListKind.FULL, briefing.list(edge.now())));
+        turns.event(() -> module.servers(edge.now(), ListKind.FULL, briefing.weightedServers(edge.now())));
     }
 
     void heard(Map<String, double[]> pooled) {
-        if (briefing.heard(edge.now(), pooled)) {
+        if (briefing.applyPooledObservations(edge.now(), pooled)) {
             tell();
         }
     }
@@ -118,17 +118,17 @@
                 });
             }
         });
-        int number = briefing.number(route);
+        int number = briefing.classNumber(route);
         if (number < 0) {
-            number = briefing.add(route);
-            turns.event(() -> module.retune(edge.now(), briefing.settings()));
+            number = briefing.addClass(route);
+            turns.event(() -> module.reconfigure(edge.now(), briefing.settings()));
         }
         Balancer.Request request = new Balancer.Request(
                 x.id,
                 number,
                 0,
                 route.kind() == Route.Kind.CACHEABLE ? path : null,
-                giveUp - BACKSTOP_MICROS - CallState.MARGIN_MICROS,
+                giveUp - BACKSTOP_MICROS - CallState.MODULE_MARGIN_MICROS,
                 false);
         turns.event(() -> module.request(edge.now(), request));
     }
@@ -137,16 +137,16 @@
     private CallState state(Route route) {
         Plant plant = edge.world.plant;
         boolean open = plant == Plant.REPEATS_ALL || plant == Plant.REFUSES_WHAT_RAN;
-        return new CallState(route.repeatable() || open);
+        return new CallState(route.isRepeatable() || open);
     }
 
     private void conclude(Exchange x, End end, long version) {
-        x.state.answered();
-        x.client.accept(new Result(end, version, x.state.hasGoneOut()));
+        x.state.markAnswered();
+        x.client.accept(new Result(end, version, x.state.hasBeenSent()));
     }
 
     private void forget(Exchange x) {
-        if (x.state.isAnswered() && !x.state.isOut()) {
+        if (x.state.isAnswered() && !x.state.isInFlight()) {
             open.remove(x.id);
         }
     }
@@ -160,21 +160,21 @@
 
     private void sendNow(String request, String id, long until) {
         Exchange x = open.get(request);
-        int attempt = x.state.next();
+        int attempt = x.state.nextAttempt();
         long sentAt = edge.now();
-        Server server = briefing.server(id);
+        ServerInstance server = briefing.server(id);
         long wait = Math.min(until, x.giveUp - BACKSTOP_MICROS) - sentAt;
         boolean counted = attempt == 0 && x.counted;
         if (!x.state.maySend() || server == null || wait <= 0 || !counted && !edge.another(service)) {
             told(x, attempt, sentAt, Code.NOT_SENT);
             return;
         }
-        x.state.sent(attempt);
+        x.state.attemptSent(attempt);
         String address = server.dial().getAddress().getHostAddress() + ":"
                 + server.dial().getPort();
-        Servers.Request message = new Servers.Request(x.attempt, id, x.path, !x.route.repeatable(), service);
+        Servers.Request message = new Servers.Request(x.attempt, id, x.path, !x.route.isRepeatable(), service);
         x.out = connections.send(address, message, wait, (code, reply) -> {
-            if (code == Code.OK && briefing.answered(edge.now(), id, x.route, edge.now() - sentAt)) {
+            if (code == Code.OK && briefing.recordAnswer(edge.now(), id, x.route, edge.now() - sentAt)) {
                 tell();
             }
             ended(x, attempt, sentAt, code, reply == null ? 0 : reply.version());
@@ -182,7 +182,7 @@
     }
 
     private void ended(Exchange x, int attempt, long sentAt, Code code, long version) {
-        if (!x.state.ended(attempt, code)) {
+        if (!x.state.attemptEnded(attempt, code)) {
             return;
         }
         if (code == Code.OK && !x.state.isAnswered()) {
@@ -197,7 +197,7 @@
         boolean over = x.state.isAnswered();
         turns.event(() -> {
             long now = edge.now();
-            module.outcome(now, new Balancer.Outcome(x.id, attempt, code, now - sentAt, over, Note.NONE, null));
+            module.outcome(now, new Balancer.Outcome(x.id, attempt, code, now - sentAt, over, CacheStatus.NONE, null));
             turns.action(() -> forget(x));
         });
     }
@@ -227,7 +227,7 @@
     public void cancel(String request, int attempt) {
         turns.action(() -> {
             Exchange x = open.get(request);
-            if (x != null && x.state.isOut(attempt)) {
+            if (x != null && x.state.isInFlight(attempt)) {
                 x.out.cancel();
             }
         });
--- a/src/main/java/gorsemast/simulation/Hunt.java
+++ b/src/main/java/gorsemast/simulation/Hunt.java
@@ -32,7 +32,7 @@
 
     /** The same with days of one's own, by number. */
     public static Result run(IntFunction<Day> all, int days, Plant plant, int most) {
-        Log.divert(line -> {});
+        Log.redirect(line -> {});
         try {
             AtomicInteger broken = new AtomicInteger();
             List<Object> ends = IntStream.range(0, days)
@@ -64,17 +64,17 @@
                             .map(Outcome.class::cast)
                             .toList());
         } finally {
-            Log.divert(null);
+            Log.redirect(null);
         }
     }
 
     /** A broken day with no more troubles than it takes, and its story. */
     public static Found shortest(Found found, Plant plant) {
-        Log.divert(line -> {});
+        Log.redirect(line -> {});
         try {
             return shrink(found.day, found.broken, plant);
         } finally {
-            Log.divert(null);
+            Log.redirect(null);
         }
     }
 
--- a/src/main/java/gorsemast/simulation/Kept.java
+++ b/src/main/java/gorsemast/simulation/Kept.java
@@ -2,9 +2,9 @@
 
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
-import gorsemast.gossip.PurgeNews;
-import gorsemast.gossip.ServerNews;
-import gorsemast.peer.Record.Program;
+import gorsemast.gossip.PurgeRequest;
+import gorsemast.gossip.ServerInfo;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.simulation.CoreProcesses.Registry;
 import java.util.ArrayList;
 import java.util.List;
@@ -73,7 +73,7 @@
 
     private void knows(Machine machine, Registry registry) {
         for (Leaving one : leaving) {
-            if (matters(one) && ready(registry.office.board().get(Kind.SERVER, one.server.id))) {
+            if (matters(one) && ready(registry.office.state().get(Kind.SERVER, one.server.id))) {
                 throw new Broken(
                         "KEPT",
                         machine.ip + " takes " + one.server.id + " for ready " + (world.time.now() - one.at) / 1_000
@@ -91,15 +91,15 @@
     }
 
     private static boolean ready(Entry entry) {
-        ServerNews server = entry == null ? null : ServerNews.of(entry);
-        return server != null && server.state() == ServerNews.State.READY;
+        ServerInfo server = entry == null ? null : ServerInfo.fromEntry(entry);
+        return server != null && server.state() == ServerInfo.State.READY;
     }
 
     private boolean knows(Registry registry, Purge purge) {
         long age = world.time.now() - purge.sentAt + SLACK_MICROS;
-        return registry.office.board().all(Kind.PURGE).stream()
-                .filter(entry -> registry.now() - entry.born() <= age)
-                .map(PurgeNews::of)
+        return registry.office.state().all(Kind.PURGE).stream()
+                .filter(entry -> registry.now() - entry.createdAt() <= age)
+                .map(PurgeRequest::fromEntry)
                 .anyMatch(news -> news != null
                         && news.path().equals(purge.path)
                         && news.tag().equals(purge.tag));
@@ -117,7 +117,9 @@
                             + " was acknowledged more than " + World.CONTACT_MICROS / 1_000 + " ms ago");
         }
         for (Leaving one : leaving) {
-            if (one.at < before && matters(one) && ready(edge.lookout.board().get(Kind.SERVER, one.server.id))) {
+            if (one.at < before
+                    && matters(one)
+                    && ready(edge.lookout.gossipState().get(Kind.SERVER, one.server.id))) {
                 throw new Broken(
                         "VOUCH",
                         edge.machine.ip + " starts, is ready, and takes " + one.server.id
--- a/src/main/java/gorsemast/simulation/LinkTraffic.java
+++ b/src/main/java/gorsemast/simulation/LinkTraffic.java
@@ -1,6 +1,6 @@
 package gorsemast.simulation;
 
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 
 /** Bytes and records that went over links, by the sender's and the receiver's program, since the last reset. One thread. */
 final class LinkTraffic {
--- a/src/main/java/gorsemast/simulation/Machine.java
+++ b/src/main/java/gorsemast/simulation/Machine.java
@@ -19,7 +19,7 @@
         void save(ReplicaState state, boolean keptToo) {
             saved = keptToo || saved == null
                     ? state
-                    : new ReplicaState(state.me(), state.promised(), state.view(), saved.kept());
+                    : new ReplicaState(state.self(), state.promised(), state.view(), saved.stored());
         }
     }
 
--- a/src/main/java/gorsemast/simulation/MachineTroubles.java
+++ b/src/main/java/gorsemast/simulation/MachineTroubles.java
@@ -1,6 +1,6 @@
 package gorsemast.simulation;
 
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.List;
 import java.util.Set;
 
@@ -79,11 +79,11 @@
                 for (Process process : machine.processes) {
                     process.run(() -> {
                         if (process instanceof Edge edge) {
-                            edge.lookout.seeds(seeds);
+                            edge.lookout.addSeeds(seeds);
                         } else if (process instanceof CoreProcesses.Registry registry) {
-                            registry.office.seeds(seeds);
+                            registry.office.addSeeds(seeds);
                         } else if (process instanceof CoreProcesses.Store store) {
-                            store.teller.seeds(seeds);
+                            store.teller.replaceSeeds(seeds);
                         }
                     });
                 }
--- a/src/main/java/gorsemast/simulation/Outside.java
+++ b/src/main/java/gorsemast/simulation/Outside.java
@@ -1,6 +1,6 @@
 package gorsemast.simulation;
 
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.simulation.CoreProcesses.Registry;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/gorsemast/simulation/PlantedRegistry.java
+++ b/src/main/java/gorsemast/simulation/PlantedRegistry.java
@@ -2,7 +2,7 @@
 
 import gorsemast.configuration.Configuration;
 import gorsemast.gossip.Entry;
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import gorsemast.registry.Command;
 import gorsemast.registry.RegistryNode;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 
     /** Whether a call was answered here, or is never to be. */
     static boolean answers(Plant plant, RegistryNode office, Command command, RegistryNode.Reply reply) {
-        Entry held = office.board().get(Entry.Kind.CONFIGURATION, "");
+        Entry held = office.state().get(Entry.Kind.CONFIGURATION, "");
         if (command instanceof Command.Read && plant == Plant.READS_ALONE && held != null) {
             reply.answer(200, null, held.body());
             return true;
@@ -50,17 +50,19 @@
         }
 
         /** News with the contents that were ordered here in place of those that hold. */
-        Record told(Record record) {
-            if (!(record instanceof Record.News news)) {
+        PeerMessage told(PeerMessage record) {
+            if (!(record instanceof PeerMessage.Updates news)) {
                 return record;
             }
             List<Entry> items = new ArrayList<>();
-            for (Entry item : news.items()) {
+            for (Entry item : news.entries()) {
                 Configuration own = item.kind() == Entry.Kind.CONFIGURATION ? ordered.get(item.stamp()) : null;
                 items.add(
-                        own == null ? item : new Entry(item.kind(), item.key(), item.stamp(), own.body(), item.born()));
+                        own == null
+                                ? item
+                                : new Entry(item.kind(), item.key(), item.stamp(), own.body(), item.createdAt()));
             }
-            return new Record.News(news.order(), items);
+            return new PeerMessage.Updates(news.commandId(), items);
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/Process.java
+++ b/src/main/java/gorsemast/simulation/Process.java
@@ -2,8 +2,8 @@
 
 import gorsemast.peer.Neighbour;
 import gorsemast.peer.Neighbours;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
         private final Process other;
         private End far;
         private final List<byte[]> way = new ArrayList<>();
-        private Record.Hello peer;
+        private PeerMessage.Hello peer;
         private Target dialled;
         private long heard = now();
         private long lastArrival;
@@ -49,17 +49,19 @@
         }
 
         @Override
-        public Record.Hello peer() {
+        public PeerMessage.Hello hello() {
             return peer;
         }
 
         @Override
-        public void send(Record record) {
+        public void send(PeerMessage record) {
             if (!open || !alive) {
                 return;
             }
-            if (world.plant == Plant.ACKS_ALONE && record instanceof Record.News news && news.order() != 0) {
-                after(0, () -> heardFrom(this, new Record.Held(news.order(), 0)));
+            if (world.plant == Plant.ACKS_ALONE
+                    && record instanceof PeerMessage.Updates news
+                    && news.commandId() != 0) {
+                after(0, () -> heardFrom(this, new PeerMessage.Persisted(news.commandId(), 0)));
                 return;
             }
             byte[] bytes = Codec.bytes(planted(record), now());
@@ -89,14 +91,14 @@
                 return;
             }
             heard = now();
-            Record record = Codec.record(bytes, heard);
-            if (record instanceof Record.Hello hello) {
+            PeerMessage record = Codec.record(bytes, heard);
+            if (record instanceof PeerMessage.Hello hello) {
                 if (peer == null) {
                     peer = hello;
                     ends.add(this);
                     linked(this);
                 }
-            } else if (peer != null && !(record instanceof Record.Ping)) {
+            } else if (peer != null && !(record instanceof PeerMessage.Ping)) {
                 heardFrom(this, record);
             }
         }
@@ -113,7 +115,7 @@
             if (now() - heard > SILENT_MICROS) {
                 close(true);
             } else {
-                send(new Record.Ping());
+                send(new PeerMessage.Ping());
                 after(PING_MICROS, this::ping);
             }
         }
@@ -162,17 +164,17 @@
     }
 
     /** What is sent in place of a record, for a planted defect. */
-    Record planted(Record record) {
+    PeerMessage planted(PeerMessage record) {
         return record;
     }
 
-    abstract Record.Hello hello();
+    abstract PeerMessage.Hello hello();
 
     abstract void linked(Neighbour one);
 
     abstract void unlinked(Neighbour one);
 
-    abstract void heardFrom(Neighbour one, Record record);
+    abstract void heardFrom(Neighbour one, PeerMessage record);
 
     /** It is asked to leave in order; whoever can't ends at once. */
     void leave() {
@@ -240,7 +242,7 @@
     // ---- links
 
     @Override
-    public Collection<Neighbour> up() {
+    public Collection<Neighbour> connected() {
         return new ArrayList<>(ends);
     }
 
--- a/src/main/java/gorsemast/simulation/Referee.java
+++ b/src/main/java/gorsemast/simulation/Referee.java
@@ -94,11 +94,11 @@
                 .add(request.attempt())) {
             Deque<Long> more = further.computeIfAbsent(request.service(), name -> new ArrayDeque<>());
             more.add(now());
-            while (more.peek() < now() - World.BUDGET.window()) {
+            while (more.peek() < now() - World.BUDGET.windowMicros()) {
                 more.poll();
             }
             long requests = asked.getOrDefault(request.service(), new ArrayDeque<>()).stream()
-                    .filter(at -> at > now() - World.BUDGET.window())
+                    .filter(at -> at > now() - World.BUDGET.windowMicros())
                     .count();
             if (more.size() > World.BUDGET.ratio() * requests + World.BUDGET.slack()) {
                 throw new Broken(
--- a/src/main/java/gorsemast/simulation/ScaleStudy.java
+++ b/src/main/java/gorsemast/simulation/ScaleStudy.java
@@ -1,7 +1,7 @@
 package gorsemast.simulation;
 
 import gorsemast.logging.Log;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -56,7 +56,7 @@
 
     /** Plays the day of a load. Some 30 s of processor time at 740 edges. */
     public static Cost play(Load load) {
-        Log.divert(line -> {});
+        Log.redirect(line -> {});
         try {
             World world = new World(day(load), Plant.NONE, null);
             world.extraServers = load.servers;
@@ -65,7 +65,7 @@
             Outcome outcome = world.play();
             return cost(load, world, outcome);
         } finally {
-            Log.divert(null);
+            Log.redirect(null);
         }
     }
 
--- a/src/main/java/gorsemast/simulation/Ways.java
+++ b/src/main/java/gorsemast/simulation/Ways.java
@@ -1,6 +1,6 @@
 package gorsemast.simulation;
 
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/src/main/java/gorsemast/simulation/World.java
+++ b/src/main/java/gorsemast/simulation/World.java
@@ -1,8 +1,8 @@
 package gorsemast.simulation;
 
-import gorsemast.dispatch.Briefing;
+import gorsemast.dispatch.ModuleConfiguration;
 import gorsemast.emulator.VirtualTime;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.simulation.CoreProcesses.Registry;
 import gorsemast.simulation.CoreProcesses.Store;
 import java.util.ArrayList;
@@ -41,7 +41,7 @@
     /** Of objects' servers, a second. */
     static final double RATE = 25;
 
-    static final Briefing.Budget BUDGET = new Briefing.Budget(0.2, 60, 10_000_000);
+    static final ModuleConfiguration.RetryBudget BUDGET = new ModuleConfiguration.RetryBudget(0.2, 60, 10_000_000);
     private static final long START_MICROS = 500_000;
     private static final long SEED_LAG = 3_000_000;
     private static final long WATCH_MICROS = 5_000;
@@ -125,7 +125,7 @@
         for (Machine machine : machines(true)) {
             if (machine != but
                     && process(Program.STORE, machine) instanceof Store store
-                    && store.teller.keeper().primary()) {
+                    && store.teller.replica().isPrimary()) {
                 return machine;
             }
         }
@@ -141,8 +141,9 @@
                 .anyMatch(core -> process(Program.REGISTRY, core) instanceof Registry registry
                         && registry.office.synced()
                         && registry.office
-                                        .board()
-                                        .differing(edge.lookout.board().digest())
+                                        .state()
+                                        .differingBuckets(
+                                                edge.lookout.gossipState().digest())
                                 == 0);
     }
 
--- a/src/main/java/gorsemast/standin/LoopbackNetwork.java
+++ b/src/main/java/gorsemast/standin/LoopbackNetwork.java
@@ -177,7 +177,7 @@
         servers.forEach(StandInServer::close);
         programs.forEach(Daemon::close);
         programs.clear();
-        Daemon.end(loop);
+        Daemon.shutDown(loop);
     }
 
     private void startAll(int edges) throws IOException {
--- a/src/main/java/gorsemast/storage/Slots.java
+++ b/src/main/java/gorsemast/storage/AlternatingFile.java
@@ -14,13 +14,13 @@
  * Sequence numbers of writes that were cut are given again, in another life: so pieces of two such writes never make one
  * whole. One thread, which waits for the disk.
  */
-final class Slots {
+final class AlternatingFile {
     private static final int MARK = 0x47_53_52_31;
     private static final int HEAD_BYTES = Integer.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
 
     private record Whole(long sequence, byte[] content) {}
 
-    private final Folder folder;
+    private final Directory folder;
     private final List<String> names;
     private final long life;
     /** Of the newest whole record; 0 for none. */
@@ -33,7 +33,7 @@
      *
      * @param life a number that no other opening was given
      */
-    Slots(Folder folder, String name, long life) throws IOException {
+    AlternatingFile(Directory folder, String name, long life) throws IOException {
         this.folder = folder;
         this.life = life;
         this.names = List.of(name + ".0", name + ".1");
--- a/src/main/java/gorsemast/storage/Folder.java
+++ b/src/main/java/gorsemast/storage/Directory.java
@@ -9,7 +9,7 @@
  * <p>A write and the name of a file are made safe apart from each other: after a loss of power a file whose name was not
  * synced may be gone, however often its content was.
  */
-interface Folder {
+interface Directory {
     /** All of a file; null where there is none. */
     byte[] read(String name) throws IOException;
 
@@ -20,5 +20,5 @@
     void sync(String name) throws IOException;
 
     /** Syncs the names of all files. */
-    void syncNames() throws IOException;
+    void syncDirectory() throws IOException;
 }
--- a/src/main/java/gorsemast/storage/Disk.java
+++ b/src/main/java/gorsemast/storage/Disk.java
@@ -9,7 +9,7 @@
 /**
  * What a store has on its disk: a state, which is small, and a configuration, which is large.
  *
- * <p><b>Idea.</b> A snapshot of both, in two {@link Slots}, and the state by itself in two more, all under one sequence of
+ * <p><b>Idea.</b> A snapshot of both, in two {@link AlternatingFile}, and the state by itself in two more, all under one sequence of
  * numbers. A save of both writes a snapshot; a save of the state alone writes only that. What holds is the newest whole
  * snapshot, with the newest whole state where that is later. So a save is there wholly or not at all, wherever power cuts
  * it, and the space is that of two configurations however many were saved.
@@ -24,34 +24,34 @@
     /** Both records. */
     public record Saved(byte[] state, byte[] configuration) {}
 
-    private final Slots snapshot;
-    private final Slots state;
+    private final AlternatingFile snapshot;
+    private final AlternatingFile state;
     private long sequence;
 
     /** In this folder; what is there and not whole counts as nothing. */
-    Disk(Folder folder, long life) throws IOException {
-        snapshot = new Slots(folder, SNAPSHOT, life);
-        state = new Slots(folder, STATE, life);
-        folder.syncNames();
+    Disk(Directory folder, long life) throws IOException {
+        snapshot = new AlternatingFile(folder, SNAPSHOT, life);
+        state = new AlternatingFile(folder, STATE, life);
+        folder.syncDirectory();
         sequence = Math.max(snapshot.newest(), state.newest());
     }
 
     /**
-     * Opens what is in a folder, which must exist, or takes over what {@link FormerDisk} has there.
+     * Opens what is in a folder, which must exist, or takes over what {@link XodusImport} has there.
      *
      * @param life a number that no other opening was given
      */
     public static Disk open(Path home, long life) {
         try {
-            Disk disk = new Disk(new PlainFolder(home), life);
+            Disk disk = new Disk(new FileSystemDirectory(home), life);
             if (disk.load() == null) {
-                Saved former = FormerDisk.read(home);
+                Saved former = XodusImport.read(home);
                 if (former != null) {
                     LOG.info("takes over the records of an earlier release");
                     disk.save(former.state, former.configuration);
                 }
             }
-            FormerDisk.remove(home);
+            XodusImport.remove(home);
             return disk;
         } catch (IOException e) {
             throw new DiskException(Code.OPEN, e);
--- a/src/main/java/gorsemast/storage/PlainFolder.java
+++ b/src/main/java/gorsemast/storage/FileSystemDirectory.java
@@ -8,11 +8,11 @@
 import java.nio.file.StandardOpenOption;
 
 /** A folder of the file system. One thread, which waits for the disk. */
-final class PlainFolder implements Folder {
+final class FileSystemDirectory implements Directory {
     private final Path home;
 
     /** In this folder, which must exist. */
-    PlainFolder(Path home) {
+    FileSystemDirectory(Path home) {
         this.home = home;
     }
 
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         try (FileChannel channel = FileChannel.open(home, StandardOpenOption.READ)) {
             channel.force(true);
         }
--- a/src/main/java/gorsemast/storage/FormerDisk.java
+++ b/src/main/java/gorsemast/storage/XodusImport.java
@@ -21,7 +21,7 @@
  * The records of releases that kept them in a log of Xodus, in folders of their own: read once, then removed. One thread,
  * which waits for the disk.
  */
-final class FormerDisk {
+final class XodusImport {
     static final String STORE = "records";
     static final String STATE = "state";
     static final String CONFIGURATION = "configuration";
@@ -34,7 +34,7 @@
     private static final int PAGE_BYTES = 16 << 10;
     private static final Log LOG = new Log("storage");
 
-    private FormerDisk() {}
+    private XodusImport() {}
 
     /** Both records, from the first folder where both are whole; null where there is none. */
     static Disk.Saved read(Path home) {
@@ -104,7 +104,7 @@
                 delete(former);
                 if (!folder.equals(former)) {
                     Files.move(folder, former);
-                    new PlainFolder(home).syncNames();
+                    new FileSystemDirectory(home).syncDirectory();
                     delete(former);
                 }
             }
--- a/src/main/java/gorsemast/store/OrderQueue.java
+++ b/src/main/java/gorsemast/store/CallQueue.java
@@ -11,7 +11,7 @@
  * The calls of a replica: those that wait, and the one that a primary serves in a round with its backups. Each is
  * answered or forwarded once. Times in microseconds of the replica's clock; one caller, the replica's.
  */
-final class OrderQueue {
+final class CallQueue {
     /**
      * A put or a get.
      *
@@ -20,7 +20,7 @@
      */
     record Call(long id, boolean put, long version, byte[] body, ContentDigest digest, long until) {}
 
-    private final Replica.Out out;
+    private final Replica.Output out;
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Set<String> acknowledgedBy = new HashSet<>();
     private Call working;
@@ -32,7 +32,7 @@
     private StoredVersion agreed = StoredVersion.NONE;
 
     /** No call; answers go to this. */
-    OrderQueue(Replica.Out out) {
+    CallQueue(Replica.Output out) {
         this.out = out;
     }
 
@@ -101,7 +101,7 @@
     }
 
     private void giveUp(Call call) {
-        out.answer(call.id(), CallOutcome.UNCERTAIN, StoredVersion.NONE);
+        out.complete(call.id(), CallOutcome.UNCERTAIN, StoredVersion.NONE);
     }
 
     /**
@@ -153,7 +153,7 @@
         if (copies) {
             out.committed(held);
         }
-        out.answer(done.id(), outcome(done, held), held);
+        out.complete(done.id(), outcome(done, held), held);
         return true;
     }
 
@@ -162,14 +162,14 @@
         if (order.version() > held.version()) {
             return held.next(order.version(), term, order.body(), order.digest());
         }
-        boolean free = held.numbers().digest(order.version()) == null
-                && !held.numbers().forgets(order.version());
+        boolean free = held.history().digest(order.version()) == null
+                && !held.history().forgets(order.version());
         return free ? held.taking(order.version(), term, order.digest()) : held;
     }
 
     /** How a call ends whose round with the backups has come to its end. */
     private static CallOutcome outcome(Call call, StoredVersion held) {
-        ContentDigest holds = call.put() ? held.numbers().digest(call.version()) : null;
+        ContentDigest holds = call.put() ? held.history().digest(call.version()) : null;
         return holds == null || holds.equals(call.digest()) ? CallOutcome.DONE : CallOutcome.CONFLICT;
     }
 }
--- a/src/main/java/gorsemast/store/EarlyAnswers.java
+++ b/src/main/java/gorsemast/store/EarlyAnswers.java
@@ -40,7 +40,7 @@
                 agree.add(id);
             }
         });
-        return early(now) && view.majority(agree);
+        return early(now) && view.isMajority(agree);
     }
 
     private boolean early(long now) {
--- a/src/main/java/gorsemast/store/Liveness.java
+++ b/src/main/java/gorsemast/store/Liveness.java
@@ -23,7 +23,7 @@
     private static final class Seen {
         private Member member;
         private long at;
-        private Place place;
+        private Location place;
         private long settled = -1;
         private boolean leaving;
     }
@@ -38,7 +38,7 @@
     }
 
     /** It has said where it stands, which view without an old list is on its disk, and whether it is about to leave; after {@link #heard}. */
-    void told(String id, Place place, boolean leaving, long settled) {
+    void told(String id, Location place, boolean leaving, long settled) {
         Seen one = seen.get(id);
         one.settled = settled;
         one.place = place;
@@ -80,7 +80,7 @@
     }
 
     /** Where it said that it stands; null where it has not said it. */
-    Place place(String id) {
+    Location place(String id) {
         Seen one = seen.get(id);
         return one == null ? null : one.place;
     }
@@ -102,16 +102,16 @@
     List<Member> others(View view) {
         List<Member> others = new ArrayList<>();
         seen.values().stream()
-                .filter(one -> one.member != null && !view.has(one.member.id()))
+                .filter(one -> one.member != null && !view.isVoter(one.member.id()))
                 .forEach(one -> others.add(one.member));
         return others;
     }
 
     /** Forgets who is in no view and was not heard for long, and the longest silent of too many. */
     void forget(View view, long now) {
-        seen.entrySet().removeIf(one -> !view.has(one.getKey()) && now - one.getValue().at > FORGET_MICROS);
+        seen.entrySet().removeIf(one -> !view.isVoter(one.getKey()) && now - one.getValue().at > FORGET_MICROS);
         List<String> others = new ArrayList<>(
-                seen.keySet().stream().filter(id -> !view.has(id)).toList());
+                seen.keySet().stream().filter(id -> !view.isVoter(id)).toList());
         others.sort((a, b) -> Long.compare(seen.get(a).at, seen.get(b).at));
         for (int i = 0; i < others.size() - MOST_OTHERS; i++) {
             seen.remove(others.get(i));
--- a/src/main/java/gorsemast/store/Place.java
+++ b/src/main/java/gorsemast/store/Location.java
@@ -9,19 +9,19 @@
  *
  * @param zone its zone; empty where it is not told
  * @param region its zone's region; empty where it is not told
- * @param counted whether the machine's loss is one of those that are to be borne: only such a machine is taken in
+ * @param lossCounted whether the machine's loss is one of those that are to be borne: only such a machine is taken in
  */
-public record Place(String zone, String region, boolean counted) {
+public record Location(String zone, String region, boolean lossCounted) {
     /** Of a member that has not said it. */
-    public static final Place UNKNOWN = new Place("", "", true);
+    public static final Location UNKNOWN = new Location("", "", true);
 
     void write(DataOutputStream out) throws IOException {
         out.writeUTF(zone);
         out.writeUTF(region);
-        out.writeBoolean(counted);
+        out.writeBoolean(lossCounted);
     }
 
-    static Place read(DataInputStream in) throws IOException {
-        return new Place(in.readUTF(), in.readUTF(), in.readBoolean());
+    static Location read(DataInputStream in) throws IOException {
+        return new Location(in.readUTF(), in.readUTF(), in.readBoolean());
     }
 }
--- a/src/main/java/gorsemast/store/Membership.java
+++ b/src/main/java/gorsemast/store/Membership.java
@@ -33,19 +33,19 @@
 
     final Liveness liveness = new Liveness();
     private final MembershipPlanner planner;
-    private final Place place;
+    private final Location place;
     private final Set<String> told = new HashSet<>();
     private boolean leaving;
     private long leavingSince;
     private long lookAt;
     private long changeAt;
 
-    Membership(FaultTolerance tolerance, Place place) {
+    Membership(FaultTolerance tolerance, Location place) {
         this.planner = new MembershipPlanner(tolerance);
         this.place = place;
     }
 
-    Place place() {
+    Location place() {
         return place;
     }
 
@@ -76,7 +76,7 @@
 
     /** What a primary should do now for members and copies; null for nothing. */
     Step step(View view, Member me, long now) {
-        if (now < lookAt || yields(view, me, now) || !view.before().isEmpty()) {
+        if (now < lookAt || yields(view, me, now) || !view.previousMembers().isEmpty()) {
             return null;
         }
         lookAt = now + LOOK_MICROS;
@@ -157,31 +157,31 @@
     List<String> backups(View view, List<Member> proposed, Member me, Set<String> granted, boolean patient, long now) {
         Set<String> able = new HashSet<>(granted);
         proposed.stream()
-                .filter(one -> !view.has(one.id()) && liveness.alive(one.id(), now))
+                .filter(one -> !view.isVoter(one.id()) && liveness.alive(one.id(), now))
                 .forEach(one -> able.add(one.id())); // who joins has given no promise in this view that it could break
         List<Candidate> members = candidates(proposed, me, now);
         List<String> backups = planner.backups(me.id(), members, able, view.backups());
         Set<String> awaited = liveness.alive(now);
-        awaited.retainAll(ids(view.all()));
+        awaited.retainAll(ids(view.voters()));
         boolean waits = patient && !granted.containsAll(awaited);
         boolean enough = backups.size() >= planner.backups(proposed.size());
         return enough && !(waits && !planner.sound(me.id(), members, backups)) ? backups : null;
     }
 
-    /** Whether a leaving process may end, as {@link Replica#left} says. */
+    /** Whether a leaving process may end, as {@link Replica#mayStop} says. */
     boolean left(View view, Member me, boolean copy, long now) {
-        if (!view.has(me.id())) {
+        if (!view.isVoter(me.id())) {
             // Until then somebody may still need its vote, by the list of which it was one.
-            return view.majority(view.members().stream()
+            return view.isMajority(view.members().stream()
                     .map(Member::id)
                     .filter(id -> liveness.settled(id) >= view.term())
                     .toList());
         }
-        boolean joint = !view.before().isEmpty(); // its successor is a member already, and holds nothing yet
+        boolean joint = !view.previousMembers().isEmpty(); // its successor is a member already, and holds nothing yet
         if (joint || candidates(liveness.others(view), me, now).stream().anyMatch(Candidate::joins)) {
             return false;
         }
-        boolean others = view.all().stream().anyMatch(one -> liveness.alive(one.id(), now));
+        boolean others = view.voters().stream().anyMatch(one -> liveness.alive(one.id(), now));
         return !copy || !others || now - leavingSince > HAND_OVER_MICROS;
     }
 }
--- a/src/main/java/gorsemast/store/MembershipPlanner.java
+++ b/src/main/java/gorsemast/store/MembershipPlanner.java
@@ -30,14 +30,14 @@
      * @param silence for how long it was not heard, in microseconds
      * @param place null where it has not been told
      */
-    record Candidate(Member member, long silence, boolean leaving, Place place) {
+    record Candidate(Member member, long silence, boolean leaving, Location place) {
         boolean alive() {
             return silence < Liveness.SILENT_MICROS;
         }
 
         /** Whether it can be taken in. */
         boolean joins() {
-            return alive() && !leaving && place != null && place.counted();
+            return alive() && !leaving && place != null && place.lossCounted();
         }
     }
 
@@ -136,37 +136,37 @@
                 .after().stream().map(Candidate::member).toList();
     }
 
-    private static List<Place> places(List<Candidate> of) {
+    private static List<Location> places(List<Candidate> of) {
         return of.stream()
-                .map(one -> one.place == null ? Place.UNKNOWN : one.place)
+                .map(one -> one.place == null ? Location.UNKNOWN : one.place)
                 .toList();
     }
 
     /** Whether a loss that is to be borne leaves more than half of members that stand there. */
-    boolean majoritySurvives(List<Place> members) {
+    boolean majoritySurvives(List<Location> members) {
         return 2 * (members.size() - exposed(members)) > members.size();
     }
 
     /** Whether a loss of zones or regions that is to be borne leaves one of the copies that stand there. */
-    boolean copySurvives(Collection<Place> copies) {
-        return distinct(copies, Place::zone) > tolerance.zones()
-                && distinct(copies, Place::region) > tolerance.regions();
+    boolean copySurvives(Collection<Location> copies) {
+        return distinct(copies, Location::zone) > tolerance.zones()
+                && distinct(copies, Location::region) > tolerance.regions();
     }
 
-    private static long distinct(Collection<Place> places, Function<Place, String> domain) {
+    private static long distinct(Collection<Location> places, Function<Location, String> domain) {
         return places.stream().map(domain).distinct().count();
     }
 
     /** The most members that one loss that is to be borne takes away. */
-    private int exposed(List<Place> members) {
+    private int exposed(List<Location> members) {
         return Math.max(
                 Math.min(tolerance.machines(), members.size()),
                 Math.max(
-                        largest(members, Place::zone, tolerance.zones()),
-                        largest(members, Place::region, tolerance.regions())));
+                        largest(members, Location::zone, tolerance.zones()),
+                        largest(members, Location::region, tolerance.regions())));
     }
 
-    private static int largest(List<Place> members, Function<Place, String> domain, int lost) {
+    private static int largest(List<Location> members, Function<Location, String> domain, int lost) {
         if (lost == 0) {
             return 0;
         }
@@ -190,7 +190,7 @@
                 .filter(one ->
                         able.contains(one.member.id()) && !one.member.id().equals(primary))
                 .toList());
-        List<Place> taken = new ArrayList<>(members.stream()
+        List<Location> taken = new ArrayList<>(members.stream()
                 .filter(one -> one.member.id().equals(primary))
                 .map(Candidate::place)
                 .filter(Objects::nonNull)
@@ -211,9 +211,9 @@
         return backups;
     }
 
-    private boolean newDomain(List<Place> taken, Place place) {
-        Set<String> zones = taken.stream().map(Place::zone).collect(Collectors.toSet());
-        Set<String> regions = taken.stream().map(Place::region).collect(Collectors.toSet());
+    private boolean newDomain(List<Location> taken, Location place) {
+        Set<String> zones = taken.stream().map(Location::zone).collect(Collectors.toSet());
+        Set<String> regions = taken.stream().map(Location::region).collect(Collectors.toSet());
         return place != null
                 && (tolerance.zones() == 0 || !zones.contains(place.zone()))
                 && (tolerance.regions() == 0 || !regions.contains(place.region()));
--- a/src/main/java/gorsemast/store/Message.java
+++ b/src/main/java/gorsemast/store/Message.java
@@ -15,12 +15,18 @@
      * @param promised the highest term that the sender has promised
      * @param viewTerm the term of the sender's view
      * @param primary whether the sender acknowledges orders now
-     * @param settled the term of the last view without an old list of members that is on the sender's disk
+     * @param settledTerm the term of the last view without an old list of members that is on the sender's disk
      * @param leaving whether its process was asked to end and waits for a successor
-     * @param place where it stands
+     * @param location where it stands
      */
     record Heartbeat(
-            Member from, long promised, long viewTerm, long settled, boolean primary, boolean leaving, Place place)
+            Member from,
+            long promised,
+            long viewTerm,
+            long settledTerm,
+            boolean primary,
+            boolean leaving,
+            Location location)
             implements Message {}
 
     /** The sender's process was asked to end: a primary is followed at once, a member replaced by a spare. */
@@ -30,9 +36,9 @@
      * A candidate asks for the vote of a term.
      *
      * @param viewTerm the term of the candidate's view; voters with a later view refuse
-     * @param held what the candidate holds, without its body
+     * @param stored what the candidate holds, without its body
      */
-    record RequestVote(Member from, long term, long viewTerm, StoredVersion held) implements Message {}
+    record RequestVote(Member from, long term, long viewTerm, StoredVersion stored) implements Message {}
 
     /**
      * A vote, sent once the promise is on the voter's disk.
@@ -51,7 +57,7 @@
     record VoteRefused(Member from, long promised, View view) implements Message {}
 
     /** The elected primary to a backup: the view of its term and the newest version that any voter held. */
-    record Install(Member from, long term, View view, StoredVersion held) implements Message {}
+    record Install(Member from, long term, View view, StoredVersion stored) implements Message {}
 
     /** View and version of an {@link Install} are on the backup's disk. */
     record InstallAck(Member from, long term) implements Message {}
@@ -60,7 +66,7 @@
     record ViewChange(Member from, View view) implements Message {}
 
     /** The primary to a backup: a new version, with the numbers taken since the last. {@code round} numbers calls. */
-    record Append(Member from, long term, long round, StoredVersion held) implements Message {}
+    record Append(Member from, long term, long round, StoredVersion stored) implements Message {}
 
     /** The version of an {@link Append} is on the backup's disk. */
     record AppendAck(Member from, long term, long round) implements Message {}
--- a/src/main/java/gorsemast/store/MessageCodec.java
+++ b/src/main/java/gorsemast/store/MessageCodec.java
@@ -39,17 +39,17 @@
             begin(out, HEARTBEAT, message);
             out.writeLong(heartbeat.promised());
             out.writeLong(heartbeat.viewTerm());
-            out.writeLong(heartbeat.settled());
+            out.writeLong(heartbeat.settledTerm());
             out.writeBoolean(heartbeat.primary());
             out.writeBoolean(heartbeat.leaving());
-            heartbeat.place().write(out);
+            heartbeat.location().write(out);
         } else if (message instanceof Leave) {
             begin(out, LEAVE, message);
         } else if (message instanceof RequestVote request) {
             begin(out, REQUEST_VOTE, message);
             out.writeLong(request.term());
             out.writeLong(request.viewTerm());
-            request.held().write(out);
+            request.stored().write(out);
         } else if (message instanceof Vote vote) {
             begin(out, VOTE, message);
             out.writeLong(vote.term());
@@ -65,7 +65,7 @@
             begin(out, INSTALL, message);
             out.writeLong(install.term());
             install.view().write(out);
-            install.held().write(out);
+            install.stored().write(out);
         } else if (message instanceof InstallAck ack) {
             begin(out, INSTALL_ACK, message);
             out.writeLong(ack.term());
@@ -75,7 +75,7 @@
         } else if (message instanceof Append append) {
             begin(out, APPEND, message);
             round(out, append.term(), append.round());
-            append.held().write(out);
+            append.stored().write(out);
         } else if (message instanceof AppendAck ack) {
             begin(out, APPEND_ACK, message);
             round(out, ack.term(), ack.round());
@@ -111,7 +111,7 @@
                         in.readLong(),
                         in.readBoolean(),
                         in.readBoolean(),
-                        Place.read(in));
+                        Location.read(in));
             case LEAVE -> new Leave(from);
             case REQUEST_VOTE -> new RequestVote(from, in.readLong(), in.readLong(), StoredVersion.read(in));
             case VOTE -> new Vote(from, in.readLong(), in.readBoolean() ? StoredVersion.read(in) : null);
--- a/src/main/java/gorsemast/store/Replica.java
+++ b/src/main/java/gorsemast/store/Replica.java
@@ -40,7 +40,7 @@
  * voter hands it over, or something newer.
  *
  * <p><b>Threading and time.</b> One caller; times in microseconds of a clock that never goes back. Nothing here does
- * I/O: {@link Out} is told what to send, save and answer, and calls {@link #saved} when a save is on disk, in order.
+ * I/O: {@link Output} is told what to send, save and answer, and calls {@link #saved} when a save is on disk, in order.
  */
 public final class Replica {
     /** How often members say that they live. */
@@ -65,7 +65,7 @@
     static final long CALL_MICROS = 2_500_000;
 
     /** What it wants done. */
-    public interface Out {
+    public interface Output {
         /** Sends a message; it may be lost. */
         void send(Member to, Message message);
 
@@ -73,7 +73,7 @@
         void save(ReplicaState state, boolean keptToo, long token);
 
         /** The end of a call; with the version that holds, unless nothing is certain. */
-        void answer(long call, CallOutcome outcome, StoredVersion kept);
+        void complete(long call, CallOutcome outcome, StoredVersion kept);
 
         /** A configuration that is acknowledged from now on, here as primary. */
         void committed(StoredVersion kept);
@@ -92,7 +92,7 @@
         PRIMARY
     }
 
-    private final Out out;
+    private final Output out;
     private final SplittableRandom random;
     private final long slowMicros;
     private final Saves saves;
@@ -119,15 +119,15 @@
 
     private final LeaderHint leader = new LeaderHint();
     private final EarlyAnswers early = new EarlyAnswers();
-    private final OrderQueue orders;
+    private final CallQueue orders;
 
     /**
      * A member as its disk has it.
      *
      * @param losses how many disks may be lost at the same time: so many backups
      */
-    public Replica(ReplicaState saved, int losses, long seed, Out out) {
-        this(saved, FaultTolerance.ofMachines(losses), Place.UNKNOWN, seed, out);
+    public Replica(ReplicaState saved, int losses, long seed, Output out) {
+        this(saved, FaultTolerance.ofMachines(losses), Location.UNKNOWN, seed, out);
     }
 
     /**
@@ -136,32 +136,33 @@
      * @param tolerance what may be lost at the same time
      * @param place where its machine stands
      */
-    public Replica(ReplicaState saved, FaultTolerance tolerance, Place place, long seed, Out out) {
+    public Replica(ReplicaState saved, FaultTolerance tolerance, Location place, long seed, Output out) {
         this(saved, tolerance, place, seed, SLOW_MICROS, out);
     }
 
     /** The same with a bound of its own in place of {@link #SLOW_MICROS}, in microseconds. */
-    public Replica(ReplicaState saved, FaultTolerance tolerance, Place place, long seed, long slowMicros, Out out) {
+    public Replica(
+            ReplicaState saved, FaultTolerance tolerance, Location place, long seed, long slowMicros, Output out) {
         this.slowMicros = slowMicros;
-        this.me = saved.me();
+        this.me = saved.self();
         this.promised = saved.promised();
         this.view = saved.view();
         this.saves = new Saves(slowMicros, view, () -> pingAt = Math.min(pingAt, now)); // the replaced may wait for it
-        this.kept = saved.kept();
+        this.kept = saved.stored();
         this.membership = new Membership(tolerance, place);
         this.liveness = membership.liveness;
         this.random = new SplittableRandom(seed);
         this.out = out;
-        this.orders = new OrderQueue(out);
+        this.orders = new CallQueue(out);
     }
 
     /** The first view, before any election. */
-    public static View first(List<Member> members) {
+    public static View initialView(List<Member> members) {
         return new View(0, "", List.of(), List.copyOf(members), List.of());
     }
 
     /** Whether it acknowledges now. */
-    public boolean primary() {
+    public boolean isPrimary() {
         return role == Role.PRIMARY;
     }
 
@@ -171,15 +172,15 @@
     }
 
     /** All that it knows of, for whoever keeps links to them; one for each address, members of the view first. */
-    public List<Member> known() {
+    public List<Member> knownMembers() {
         Map<String, Member> all = new LinkedHashMap<>();
-        view.all().forEach(member -> all.putIfAbsent(member.ip(), member));
+        view.voters().forEach(member -> all.putIfAbsent(member.ip(), member));
         liveness.others(view).forEach(member -> all.putIfAbsent(member.ip(), member));
         return new ArrayList<>(all.values());
     }
 
     /** What it keeps now. */
-    public StoredVersion kept() {
+    public StoredVersion stored() {
         return kept;
     }
 
@@ -189,7 +190,7 @@
      * later view. Whoever begins a later term has its view at more than half of the members first, so what a later term
      * has refused is not told; a start that takes longer than {@link #EARLY_MICROS} waits for an election or a primary.
      */
-    public boolean mayTell() {
+    public boolean mayServeStored() {
         if (role == Role.PRIMARY) {
             return kept == orders.agreed();
         }
@@ -208,19 +209,20 @@
         if (now >= pingAt) {
             pingAt = now + PING_MICROS;
             liveness.forget(view, now);
-            String lacks = role == Role.PRIMARY && view.before().isEmpty() ? membership.lacks(view, me, now) : null;
+            String lacks =
+                    role == Role.PRIMARY && view.previousMembers().isEmpty() ? membership.lacks(view, me, now) : null;
             if (lacks != null) {
                 out.log(lacks);
             }
-            for (Member other : known()) {
-                send(other, greeting());
+            for (Member other : knownMembers()) {
+                send(other, heartbeat());
             }
         }
         orders.expireWaiting(now);
         if (orders.expireWorking(now)) {
             next();
         }
-        if (!view.has(me.id())) {
+        if (!view.isVoter(me.id())) {
             return;
         }
         switch (role) {
@@ -243,7 +245,7 @@
     }
 
     /** A sign of life, for whoever has just come. */
-    public Message greeting() {
+    public Message heartbeat() {
         return new Heartbeat(
                 me,
                 promised,
@@ -270,7 +272,7 @@
         if (step == null
                 && orders.slow(view.backups(), slowMicros, now)
                 && !membership.yields(view, me, now)
-                && view.before().isEmpty()) {
+                && view.previousMembers().isEmpty()) {
             step = new Membership.Step(null, "has a backup of term " + view.term() + " that does not answer");
         }
         if (step != null) {
@@ -281,12 +283,12 @@
 
     // ---- leaving
 
-    /** Its process was asked to end: others follow it, and it serves on until {@link #left}. */
+    /** Its process was asked to end: others follow it, and it serves on until {@link #mayStop}. */
     public void leave(long time) {
         now = time;
         membership.leave(now);
         out.log("leaves as " + role + " of term " + view.term());
-        for (Member other : known()) {
+        for (Member other : knownMembers()) {
             send(other, new Leave(me));
         }
     }
@@ -295,7 +297,7 @@
      * Whether its process may end: it is no member any more; or nobody is there to take its place, and it holds no copy
      * that is counted on, or has waited {@link Membership#HAND_OVER_MICROS} for others to take over.
      */
-    public boolean left(long time) {
+    public boolean mayStop(long time) {
         now = time;
         boolean copy = role != Role.FOLLOWER
                 || me.id().equals(view.primary())
@@ -307,7 +309,7 @@
     private void leave(Leave leave) {
         String from = leave.from().id();
         membership.leaves(from);
-        if (!view.has(from)) {
+        if (!view.isVoter(from)) {
             send(leave.from(), new ViewChange(me, view));
         } else if (from.equals(leader.primary())) {
             leader.expire();
@@ -319,7 +321,7 @@
     private boolean reachesMost() {
         Set<String> alive = liveness.alive(now);
         alive.add(me.id());
-        return view.majority(alive);
+        return view.isMajority(alive);
     }
 
     private void standBack() {
@@ -345,7 +347,7 @@
         save(false, () -> {
             if (role == Role.CANDIDATE && promised == term) {
                 granted.add(me.id());
-                for (Member member : view.all()) {
+                for (Member member : view.voters()) {
                     if (!member.equals(me)) {
                         send(member, new RequestVote(me, term, view.term(), kept.withoutBody()));
                     }
@@ -356,7 +358,7 @@
     }
 
     /** A message from another member, or from a machine that asks to be one. */
-    public void message(long time, Message message) {
+    public void receive(long time, Message message) {
         now = time;
         liveness.heard(message.from(), now);
         if (message instanceof Heartbeat heartbeat) {
@@ -388,10 +390,10 @@
 
     private void heartbeat(Heartbeat heartbeat) {
         String from = heartbeat.from().id();
-        liveness.told(from, heartbeat.place(), heartbeat.leaving(), heartbeat.settled());
+        liveness.told(from, heartbeat.location(), heartbeat.leaving(), heartbeat.settledTerm());
         early.heard(from, heartbeat.viewTerm(), now);
         boolean backup = view.backups().contains(from);
-        highest = view.has(from) ? Math.max(highest, heartbeat.promised()) : highest;
+        highest = view.isVoter(from) ? Math.max(highest, heartbeat.promised()) : highest;
         if (role == Role.PRIMARY && heartbeat.viewTerm() > view.term()) {
             yieldTo(Math.max(promised, heartbeat.viewTerm())); // a later term has begun while this one was not heard
         }
@@ -409,15 +411,15 @@
             next();
         }
         boolean old = heartbeat.viewTerm() < view.term();
-        boolean tells = view.has(me.id()) && !(role == Role.PRIMARY && backup);
-        if (tells && (old || heartbeat.leaving() && !view.has(from))) {
+        boolean tells = view.isVoter(me.id()) && !(role == Role.PRIMARY && backup);
+        if (tells && (old || heartbeat.leaving() && !view.isVoter(from))) {
             // Any member does: whoever was away, or joins, may reach this one alone.
             send(heartbeat.from(), new ViewChange(me, view));
         }
     }
 
     private void requestVote(RequestVote request) {
-        if (!view.has(me.id()) && !replaced) {
+        if (!view.isVoter(me.id()) && !replaced) {
             return; // a life that nobody has taken in yet: what stood here before had a vote, this has none
         }
         String refusal = refusal(request);
@@ -427,8 +429,8 @@
             return;
         }
         yieldTo(request.term());
-        boolean knowsMore = request.held().merge(kept) != request.held();
-        StoredVersion newer = kept.compareTo(request.held()) > 0 ? kept : knowsMore ? kept.withoutBody() : null;
+        boolean knowsMore = request.stored().mergedWith(kept) != request.stored();
+        StoredVersion newer = kept.compareTo(request.stored()) > 0 ? kept : knowsMore ? kept.withoutBody() : null;
         save(false, () -> {
             if (promised == request.term()) {
                 send(request.from(), new Vote(me, request.term(), newer));
@@ -444,7 +446,7 @@
                 && !candidate.equals(me.id())
                 && view.backups().stream().allMatch(id -> liveness.silence(id, now) < SILENT_MICROS);
         boolean led = leader.ledByOther(candidate, now);
-        if (!view.has(candidate)) {
+        if (!view.isVoter(candidate)) {
             return "no member";
         }
         if (request.viewTerm() < view.term()) {
@@ -459,7 +461,7 @@
     private void vote(Vote vote) {
         if (role == Role.CANDIDATE && vote.term() == promised) {
             granted.add(vote.from().id());
-            best = vote.newer() != null ? best.merge(vote.newer()) : best;
+            best = vote.newer() != null ? best.mergedWith(vote.newer()) : best;
             elect(promised);
         }
     }
@@ -487,7 +489,7 @@
         if (promised != append.term() || view.term() != append.term() || role != Role.FOLLOWER) {
             return;
         }
-        StoredVersion merged = kept.merge(append.held());
+        StoredVersion merged = kept.mergedWith(append.stored());
         boolean newer = merged != kept;
         kept = merged;
         save(newer, () -> {
@@ -524,10 +526,10 @@
     }
 
     private void elect(long term) {
-        if (!view.majority(granted)) {
+        if (!view.isMajority(granted)) {
             return;
         }
-        boolean joint = proposed != view || !view.before().isEmpty();
+        boolean joint = proposed != view || !view.previousMembers().isEmpty();
         boolean patient = now < roundUntil - ROUND_MICROS + BETTER_MICROS;
         List<String> backups = membership.backups(view, proposed.members(), me, granted, patient, now);
         if (backups == null) {
@@ -538,18 +540,19 @@
                 me.id(),
                 List.copyOf(backups),
                 proposed.members(),
-                proposed == view ? view.before() : proposed.before());
+                proposed == view ? view.previousMembers() : proposed.previousMembers());
         role = Role.INSTALLING;
         roundUntil = now + ROUND_MICROS;
         installed.clear();
         view = next;
-        StoredVersion begins = best.in(term); // no stray of a term in between is newer than what this one acknowledges
+        StoredVersion begins =
+                best.confirmedIn(term); // no stray of a term in between is newer than what this one acknowledges
         boolean newer = begins != kept;
         kept = begins;
         save(newer, () -> {
             if (role == Role.INSTALLING && view == next && promised == term) {
                 installed.add(me.id());
-                for (Member member : next.all()) {
+                for (Member member : next.voters()) {
                     if (!member.equals(me)) {
                         boolean backup = next.backups().contains(member.id());
                         send(member, backup || joint ? new Install(me, term, next, kept) : new ViewChange(me, next));
@@ -568,7 +571,7 @@
             yieldTo(install.term());
         }
         view = install.view();
-        StoredVersion merged = kept.merge(install.held());
+        StoredVersion merged = kept.mergedWith(install.stored());
         boolean newer = merged != kept;
         kept = merged;
         leader.heard(install.from().id(), now);
@@ -594,13 +597,13 @@
                 && role != Role.INSTALLING
                 && (newer.term() > view.term()
                         || newer.term() == view.term()
-                                && newer.before().isEmpty()
-                                && !view.before().isEmpty())) {
+                                && newer.previousMembers().isEmpty()
+                                && !view.previousMembers().isEmpty())) {
             if (role == Role.CANDIDATE) {
                 role = Role.FOLLOWER; // it was asked for by an older view, and may propose members of before that
                 standBack();
             }
-            replaced = (replaced || view.has(me.id())) && !newer.has(me.id());
+            replaced = (replaced || view.isVoter(me.id())) && !newer.isVoter(me.id());
             view = newer;
             promised = Math.max(promised, newer.term());
             save(false, () -> {});
@@ -614,14 +617,14 @@
     private void begin() {
         Set<String> needed = new HashSet<>(view.backups());
         needed.add(me.id());
-        boolean joint = !view.before().isEmpty();
-        if (role != Role.INSTALLING || !installed.containsAll(needed) || joint && !view.majority(installed)) {
+        boolean joint = !view.previousMembers().isEmpty();
+        if (role != Role.INSTALLING || !installed.containsAll(needed) || joint && !view.isMajority(installed)) {
             return;
         }
         role = Role.PRIMARY;
         orders.restart(kept);
         out.log("is primary of term " + view.term() + " with " + view.backups());
-        List<Member> all = view.all();
+        List<Member> all = view.voters();
         if (joint) {
             view = new View(view.term(), view.primary(), view.backups(), view.members(), List.of());
             save(false, () -> {});
@@ -641,22 +644,22 @@
     /** Keep this version; answered once. */
     public void put(long time, long call, long version, byte[] body) {
         now = time;
-        take(new OrderQueue.Call(call, true, version, body, ContentDigest.of(body), now + CALL_MICROS));
+        take(new CallQueue.Call(call, true, version, body, ContentDigest.of(body), now + CALL_MICROS));
     }
 
     /** The newest version that is acknowledged; answered once. */
     public void get(long time, long call) {
         now = time;
-        take(new OrderQueue.Call(call, false, 0, null, ContentDigest.NONE, now + CALL_MICROS));
+        take(new CallQueue.Call(call, false, 0, null, ContentDigest.NONE, now + CALL_MICROS));
     }
 
-    private void take(OrderQueue.Call call) {
+    private void take(CallQueue.Call call) {
         if (role == Role.FOLLOWER && leader.ledByOther(me.id(), now)) {
             out.forward(call.id(), liveness.member(leader.primary()));
             return;
         }
         if (role != Role.PRIMARY && !reachesMost()) {
-            out.answer(
+            out.complete(
                     call.id(),
                     CallOutcome.UNCERTAIN,
                     StoredVersion.NONE); // cut off: whoever asks had better ask elsewhere
--- a/src/main/java/gorsemast/store/ReplicaState.java
+++ b/src/main/java/gorsemast/store/ReplicaState.java
@@ -14,14 +14,14 @@
  *
  * @param promised no term below this, nor this one for anybody else, has its word any more
  */
-public record ReplicaState(Member me, long promised, View view, StoredVersion kept) {
+public record ReplicaState(Member self, long promised, View view, StoredVersion stored) {
     /**
      * What a machine begins with whose disk is empty. Only at the first start of all is that as it should be, and the
      * seeds are the first members; any other empty disk belongs to a new member, which has no vote yet.
      *
      * @param life a number that no other disk was given
      */
-    public static ReplicaState fresh(String ip, Collection<String> seeds, boolean firstBoot, long life) {
+    public static ReplicaState initial(String ip, Collection<String> seeds, boolean firstBoot, long life) {
         List<Member> members = new ArrayList<>();
         if (firstBoot) {
             seeds.forEach(seed -> members.add(new Member(seed + "#0", seed)));
@@ -29,16 +29,16 @@
         return new ReplicaState(
                 new Member(ip + "#" + (firstBoot ? "0" : Long.toHexString(life)), ip),
                 0,
-                Replica.first(members),
+                Replica.initialView(members),
                 StoredVersion.NONE);
     }
 
     /** As a record, without what is kept. */
-    public byte[] state() {
+    public byte[] encodeState() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(1);
-            me.write(out);
+            self.write(out);
             out.writeLong(promised);
             view.write(out);
         } catch (IOException e) {
@@ -48,10 +48,10 @@
     }
 
     /** What is kept, as a record. */
-    public byte[] configuration() {
+    public byte[] encodeConfiguration() {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            kept.write(out);
+            stored.write(out);
         } catch (IOException e) {
             throw new IllegalStateException(e); // memory does not fail
         }
@@ -59,7 +59,7 @@
     }
 
     /** What both records say; throws where they are none. */
-    public static ReplicaState of(byte[] state, byte[] configuration) throws IOException {
+    public static ReplicaState decode(byte[] state, byte[] configuration) throws IOException {
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(state));
                 DataInputStream more = new DataInputStream(new ByteArrayInputStream(configuration))) {
             if (in.readUnsignedByte() != 1) {
--- a/src/main/java/gorsemast/store/Saves.java
+++ b/src/main/java/gorsemast/store/Saves.java
@@ -25,7 +25,7 @@
      */
     Saves(long slowMicros, View onDisk, Runnable whenSettled) {
         this.slowMicros = slowMicros;
-        this.settled = onDisk.before().isEmpty() ? onDisk.term() : -1;
+        this.settled = onDisk.previousMembers().isEmpty() ? onDisk.term() : -1;
         this.whenSettled = whenSettled;
     }
 
@@ -58,7 +58,7 @@
         if (done == null) {
             return;
         }
-        if (done.view().before().isEmpty() && done.view().term() > settled) {
+        if (done.view().previousMembers().isEmpty() && done.view().term() > settled) {
             settled = done.view().term();
             whenSettled.run();
         }
--- a/src/main/java/gorsemast/store/StateWriter.java
+++ b/src/main/java/gorsemast/store/StateWriter.java
@@ -88,7 +88,7 @@
 
     private boolean written(Batch batch) {
         try {
-            disk.save(batch.state.state(), batch.keptToo ? batch.state.configuration() : null);
+            disk.save(batch.state.encodeState(), batch.keptToo ? batch.state.encodeConfiguration() : null);
             return true;
         } catch (RuntimeException | Error e) {
             // Whatever it was: later saves must not count while this one is not there.
--- a/src/main/java/gorsemast/store/StoreNode.java
+++ b/src/main/java/gorsemast/store/StoreNode.java
@@ -5,8 +5,8 @@
 import gorsemast.node.FaultTolerance;
 import gorsemast.peer.Neighbour;
 import gorsemast.peer.Neighbours;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Program;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -18,7 +18,7 @@
  * Everything that a store decides: its {@link Replica}, whose call each of the keeper's calls is, and who is passed on to
  * the primary. No I/O, no clock of its own, no threads; one caller; times in microseconds.
  */
-public final class StoreNode implements Replica.Out {
+public final class StoreNode implements Replica.Output {
     /** To be called so often. */
     public static final long TICK_MICROS = 25_000;
     /** Longer than any call may take here or at the store that it is passed on to. */
@@ -70,7 +70,7 @@
             Set<String> seeds,
             ReplicaState saved,
             FaultTolerance tolerance,
-            Place place,
+            Location place,
             long seed,
             LongSupplier clock,
             Neighbours neighbours,
@@ -84,7 +84,7 @@
             Set<String> seeds,
             ReplicaState saved,
             FaultTolerance tolerance,
-            Place place,
+            Location place,
             long seed,
             long slowMicros,
             LongSupplier clock,
@@ -102,17 +102,17 @@
     }
 
     /** The first word on each of its links. */
-    public static Record.Hello hello(String ip, String zone) {
-        return new Record.Hello(Program.STORE, ip, zone, "", 0);
+    public static PeerMessage.Hello hello(String ip, String zone) {
+        return new PeerMessage.Hello(Program.STORE, ip, zone, "", 0);
     }
 
     /** What it keeps, and whether it leads. */
-    public Replica keeper() {
+    public Replica replica() {
         return keeper;
     }
 
     /** Another list of core machines, in place of the last one: members are known by the view. */
-    public void seeds(Set<String> others) {
+    public void replaceSeeds(Set<String> others) {
         seeds.clear();
         seeds.addAll(others);
     }
@@ -123,14 +123,14 @@
     }
 
     /** Whether it may end now, after {@link #leave}. */
-    public boolean left() {
-        return keeper.left(clock.getAsLong());
+    public boolean mayStop() {
+        return keeper.mayStop(clock.getAsLong());
     }
 
     /** Addresses of the machines whose stores it wants links to. */
-    public Set<String> wanted() {
+    public Set<String> peerAddresses() {
         Set<String> wanted = new LinkedHashSet<>(seeds);
-        keeper.known().forEach(member -> wanted.add(member.ip()));
+        keeper.knownMembers().forEach(member -> wanted.add(member.ip()));
         wanted.remove(ip);
         return wanted;
     }
@@ -155,14 +155,14 @@
             return;
         }
         view = saved;
-        Neighbour registry = neighbours.at(Program.REGISTRY, ip);
+        Neighbour registry = neighbours.find(Program.REGISTRY, ip);
         if (registry != null) {
             registry.send(members());
         }
     }
 
-    private Record.Members members() {
-        return new Record.Members(view.term(), ips(view.members()), ips(view.before()));
+    private PeerMessage.Members members() {
+        return new PeerMessage.Members(view.term(), ips(view.members()), ips(view.previousMembers()));
     }
 
     private static List<String> ips(List<Member> members) {
@@ -173,9 +173,9 @@
 
     /** A process has come into reach. */
     public void up(Neighbour one) {
-        if (one.peer().program() == Program.STORE) {
-            one.send(new Record.Between(keeper.greeting()));
-        } else if (one.peer().ip().equals(ip)) {
+        if (one.hello().program() == Program.STORE) {
+            one.send(new PeerMessage.StoreMessage(keeper.heartbeat()));
+        } else if (one.hello().ip().equals(ip)) {
             one.send(members());
             told = false;
             tellEarly();
@@ -184,9 +184,9 @@
 
     /** Edges that start have something at once, whatever an election takes. */
     private void tellEarly() {
-        if (!told && keeper.mayTell()) {
+        if (!told && keeper.mayServeStored()) {
             told = true;
-            committed(keeper.kept());
+            committed(keeper.stored());
         }
     }
 
@@ -196,23 +196,33 @@
     }
 
     /** It has said something. */
-    public void received(Neighbour one, Record record) {
+    public void received(Neighbour one, PeerMessage record) {
         long now = clock.getAsLong();
-        if (record instanceof Record.Between between) {
-            keeper.message(now, between.message());
-        } else if (record instanceof Record.Put put) {
+        if (record instanceof PeerMessage.StoreMessage between) {
+            keeper.receive(now, between.message());
+        } else if (record instanceof PeerMessage.Put put) {
             long call = ++lastCall;
-            askers.put(call, new Asker(one, put.call(), true, put.version(), put.body(), 0, 0, now + ASKED_MICROS));
+            askers.put(call, new Asker(one, put.callId(), true, put.version(), put.body(), 0, 0, now + ASKED_MICROS));
             keeper.put(now, call, put.version(), put.body());
-        } else if (record instanceof Record.Get get) {
+        } else if (record instanceof PeerMessage.Get get) {
             long call = ++lastCall;
             askers.put(
-                    call, new Asker(one, get.call(), false, 0, null, get.known(), get.knownTerm(), now + ASKED_MICROS));
+                    call,
+                    new Asker(
+                            one,
+                            get.callId(),
+                            false,
+                            0,
+                            null,
+                            get.knownVersion(),
+                            get.knownTerm(),
+                            now + ASKED_MICROS));
             keeper.get(now, call);
-        } else if (record instanceof Record.Answer answer) {
-            Asker asker = askers.remove(answer.call());
+        } else if (record instanceof PeerMessage.StoreAnswer answer) {
+            Asker asker = askers.remove(answer.callId());
             if (asker != null) {
-                asker.from.send(answer.to(asker.call, asker.body(answer.outcome(), answer.digest(), answer.body())));
+                asker.from.send(
+                        answer.forCall(asker.call, asker.body(answer.outcome(), answer.digest(), answer.body())));
             }
         }
     }
@@ -221,9 +231,9 @@
 
     @Override
     public void send(Member member, Message message) {
-        Neighbour store = neighbours.at(Program.STORE, member.ip());
+        Neighbour store = neighbours.find(Program.STORE, member.ip());
         if (store != null) {
-            store.send(new Record.Between(message));
+            store.send(new PeerMessage.StoreMessage(message));
         }
     }
 
@@ -234,15 +244,16 @@
     }
 
     @Override
-    public void answer(long call, CallOutcome outcome, StoredVersion kept) {
+    public void complete(long call, CallOutcome outcome, StoredVersion kept) {
         Asker asker = askers.remove(call);
         if (asker != null) {
             boolean known = kept.version() == asker.known && kept.term() == asker.knownTerm;
             boolean reads = !asker.put && outcome == CallOutcome.DONE && !known;
             byte[] told = reads ? kept.body() : null;
-            boolean near = asker.from.peer().program() == Program.REGISTRY; // a store gives its own registry the body
+            boolean near = asker.from.hello().program() == Program.REGISTRY; // a store gives its own registry the body
             byte[] body = near ? asker.body(outcome, kept.digest(), told) : told;
-            asker.from.send(new Record.Answer(asker.call, outcome, kept.version(), kept.term(), kept.digest(), body));
+            asker.from.send(
+                    new PeerMessage.StoreAnswer(asker.call, outcome, kept.version(), kept.term(), kept.digest(), body));
         }
     }
 
@@ -252,21 +263,21 @@
         if (asker == null) {
             return;
         }
-        Neighbour store = neighbours.at(Program.STORE, primary.ip());
+        Neighbour store = neighbours.find(Program.STORE, primary.ip());
         if (store == null) {
-            answer(call, CallOutcome.UNCERTAIN, StoredVersion.NONE);
+            complete(call, CallOutcome.UNCERTAIN, StoredVersion.NONE);
         } else if (asker.put) {
-            store.send(new Record.Put(call, asker.version, asker.body));
+            store.send(new PeerMessage.Put(call, asker.version, asker.body));
         } else {
-            store.send(new Record.Get(call, asker.known, asker.knownTerm));
+            store.send(new PeerMessage.Get(call, asker.known, asker.knownTerm));
         }
     }
 
     @Override
     public void committed(StoredVersion kept) {
         if (kept.version() > 0) {
-            for (Neighbour one : neighbours.up(Program.REGISTRY)) {
-                one.send(new Record.Answer(
+            for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
+                one.send(new PeerMessage.StoreAnswer(
                         0, CallOutcome.DONE, kept.version(), kept.term(), kept.digest(), kept.body()));
             }
         }
--- a/src/main/java/gorsemast/store/StoreProgram.java
+++ b/src/main/java/gorsemast/store/StoreProgram.java
@@ -2,13 +2,13 @@
 
 import gorsemast.logging.Log;
 import gorsemast.node.Daemon;
-import gorsemast.node.Seed;
+import gorsemast.node.RandomSeed;
 import gorsemast.node.Settings;
 import gorsemast.peer.Link;
 import gorsemast.peer.Links;
 import gorsemast.peer.Neighbour;
+import gorsemast.peer.PeerMessage;
 import gorsemast.peer.Ports;
-import gorsemast.peer.Record;
 import gorsemast.storage.Disk;
 import gorsemast.transport.Transport;
 import io.netty.channel.EventLoop;
@@ -67,7 +67,7 @@
         if (!settings.configMode().equals(Settings.HIGHEST)) {
             LOG.warn("configMode: keeps the highest version, not \"" + settings.configMode() + '"');
         }
-        Disk disk = Disk.open(settings.dataDir(), Seed.fresh());
+        Disk disk = Disk.open(settings.dataDir(), RandomSeed.next());
         ReplicaState saved = recover(disk);
         StateWriter states =
                 new StateWriter(disk::save, writer, this::onLoop, token -> teller.saved(token), StoreProgram::pause);
@@ -76,12 +76,12 @@
                 settings.seedIps(),
                 saved,
                 settings.tolerance(),
-                new Place(settings.zone(), settings.region(), settings.lossCounted()),
-                Seed.fresh(),
+                new Location(settings.zone(), settings.region(), settings.lossCounted()),
+                RandomSeed.next(),
                 this::now,
                 links,
                 states::save);
-        links.listen(Ports.STORE.at(settings, settings.ip()));
+        links.listen(Ports.STORE.address(settings, settings.ip()));
         loop.execute(this::tick);
         loop.scheduleWithFixedDelay(this::tick, StoreNode.TICK_MICROS, StoreNode.TICK_MICROS, TimeUnit.MICROSECONDS);
     }
@@ -89,23 +89,24 @@
     private ReplicaState recover(Disk disk) throws IOException {
         Disk.Saved records = disk.load();
         if (records != null) {
-            ReplicaState saved = ReplicaState.of(records.state(), records.configuration());
-            LOG.info("has version " + Long.toHexString(saved.kept().version()) + " of term "
-                    + saved.kept().term() + ", promised " + saved.promised());
+            ReplicaState saved = ReplicaState.decode(records.state(), records.configuration());
+            LOG.info("has version " + Long.toHexString(saved.stored().version()) + " of term "
+                    + saved.stored().term() + ", promised " + saved.promised());
             return saved;
         }
         if (!settings.firstBoot()) {
             LOG.warn("has an empty disk and asks to be taken in");
         }
-        ReplicaState fresh = ReplicaState.fresh(settings.ip(), settings.seedIps(), settings.firstBoot(), Seed.fresh());
-        disk.save(fresh.state(), fresh.configuration());
+        ReplicaState fresh =
+                ReplicaState.initial(settings.ip(), settings.seedIps(), settings.firstBoot(), RandomSeed.next());
+        disk.save(fresh.encodeState(), fresh.encodeConfiguration());
         return fresh;
     }
 
     @Override
     public void reload(Settings changed) {
         loop.execute(() -> {
-            teller.seeds(changed.seedIps());
+            teller.replaceSeeds(changed.seedIps());
             dial();
         });
     }
@@ -138,42 +139,42 @@
 
     @Override
     public void close() {
-        Daemon.end(loop);
-        Daemon.end(writer);
+        Daemon.shutDown(loop);
+        Daemon.shutDown(writer);
     }
 
     private void tick() {
         try {
             teller.tick();
             dial();
-            if (left != null && teller.left()) {
+            if (left != null && teller.mayStop()) {
                 left.countDown();
             }
         } catch (RuntimeException e) {
-            LOG.fault(e);
+            LOG.internalError(e);
         }
     }
 
     private void dial() {
         Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-        teller.wanted().forEach(ip -> wanted.add(Ports.STORE.at(settings, ip)));
-        links.keep(wanted);
+        teller.peerAddresses().forEach(ip -> wanted.add(Ports.STORE.address(settings, ip)));
+        links.setTargets(wanted);
     }
 
     // ---- links
 
     @Override
-    public void up(Neighbour one) {
+    public void connected(Neighbour one) {
         teller.up(one);
     }
 
     @Override
-    public void down(Neighbour one) {
+    public void disconnected(Neighbour one) {
         teller.down(one);
     }
 
     @Override
-    public void received(Neighbour one, Record record) {
+    public void received(Neighbour one, PeerMessage record) {
         teller.received(one, record);
     }
 
--- a/src/main/java/gorsemast/store/StoredVersion.java
+++ b/src/main/java/gorsemast/store/StoredVersion.java
@@ -13,10 +13,10 @@
  *             version the later one holds, as the earlier was never acknowledged
  * @param body not to be written to
  */
-public record StoredVersion(long version, long term, byte[] body, TakenNumbers numbers)
+public record StoredVersion(long version, long term, byte[] body, VersionHistory history)
         implements Comparable<StoredVersion> {
     /** Nothing yet. */
-    public static final StoredVersion NONE = new StoredVersion(0, 0, new byte[0], TakenNumbers.NONE);
+    public static final StoredVersion NONE = new StoredVersion(0, 0, new byte[0], VersionHistory.NONE);
 
     @Override
     public int compareTo(StoredVersion other) {
@@ -25,25 +25,25 @@
 
     /** The digest of its content. */
     public ContentDigest digest() {
-        ContentDigest known = numbers.digest(version);
+        ContentDigest known = history.digest(version);
         return known == null ? ContentDigest.NONE : known;
     }
 
     /** A higher version in this one's place. */
     StoredVersion next(long higher, long ofTerm, byte[] content, ContentDigest digest) {
-        return new StoredVersion(higher, ofTerm, content, numbers.with(higher, ofTerm, digest));
+        return new StoredVersion(higher, ofTerm, content, history.with(higher, ofTerm, digest));
     }
 
     /** The same, with a lower number taken: nothing else changes. */
     StoredVersion taking(long lower, long ofTerm, ContentDigest digest) {
-        return new StoredVersion(version, term, body, numbers.with(lower, ofTerm, digest));
+        return new StoredVersion(version, term, body, history.with(lower, ofTerm, digest));
     }
 
     /** The newer of both, with the numbers of both; this one itself where the other adds nothing. */
-    StoredVersion merge(StoredVersion other) {
-        TakenNumbers all = numbers.merge(other.numbers);
+    StoredVersion mergedWith(StoredVersion other) {
+        VersionHistory all = history.merge(other.history);
         boolean newer = other.compareTo(this) > 0;
-        if (!newer && all == numbers) {
+        if (!newer && all == history) {
             return this;
         }
         StoredVersion held = newer ? other : this;
@@ -51,18 +51,18 @@
     }
 
     /** The same, vouched for by a term. */
-    StoredVersion in(long ofTerm) {
-        return numbers.size() == 0 ? this : new StoredVersion(version, ofTerm, body, numbers.in(ofTerm));
+    StoredVersion confirmedIn(long ofTerm) {
+        return history.size() == 0 ? this : new StoredVersion(version, ofTerm, body, history.in(ofTerm));
     }
 
     /** The same without its content, for whoever only compares. */
     StoredVersion withoutBody() {
-        return new StoredVersion(version, term, new byte[0], numbers);
+        return new StoredVersion(version, term, new byte[0], history);
     }
 
     /** The same with only those numbers that the other lacks. */
     StoredVersion since(StoredVersion other) {
-        return new StoredVersion(version, term, body, numbers.since(other.numbers));
+        return new StoredVersion(version, term, body, history.since(other.history));
     }
 
     void write(DataOutputStream out) throws IOException {
@@ -70,19 +70,19 @@
         out.writeLong(term);
         out.writeInt(body.length);
         out.write(body);
-        numbers.write(out);
+        history.write(out);
     }
 
     static StoredVersion read(DataInputStream in) throws IOException {
         StoredVersion bare = bare(in);
-        return new StoredVersion(bare.version, bare.term, bare.body, TakenNumbers.read(in));
+        return new StoredVersion(bare.version, bare.term, bare.body, VersionHistory.read(in));
     }
 
     /** From a disk; an earlier program wrote no numbers, and of those its own is taken. */
     static StoredVersion recorded(DataInputStream in) throws IOException {
         StoredVersion bare = bare(in);
         if (in.available() > 0) {
-            return new StoredVersion(bare.version, bare.term, bare.body, TakenNumbers.read(in));
+            return new StoredVersion(bare.version, bare.term, bare.body, VersionHistory.read(in));
         }
         return bare.version == 0 ? NONE : NONE.next(bare.version, bare.term, bare.body, ContentDigest.of(bare.body));
     }
@@ -96,6 +96,6 @@
         }
         byte[] body = new byte[length];
         in.readFully(body);
-        return new StoredVersion(version, term, body, TakenNumbers.NONE);
+        return new StoredVersion(version, term, body, VersionHistory.NONE);
     }
 }
--- a/src/main/java/gorsemast/store/TakenNumbers.java
+++ b/src/main/java/gorsemast/store/VersionHistory.java
@@ -8,26 +8,26 @@
 import java.util.List;
 
 /**
- * Which content has which number: the highest {@link #MOST} numbers that were taken, each with the term that vouches for
+ * Which content has which number: the highest {@link #MAX_ENTRIES} numbers that were taken, each with the term that vouches for
  * it and the digest of its content. Of two contents under a number the later term's holds.
  *
  * <p><b>Merging</b> is idempotent, commutative and associative: the union by number, the later term first, cut to the
  * highest numbers. A number that has been cut off is as one that was never taken. 32 bytes an entry: 16 KiB on a disk and
  * in an installation at most; an append carries only the entries since the last one. Immutable; any thread.
  */
-public final class TakenNumbers {
+public final class VersionHistory {
     /** So many numbers are remembered. */
-    public static final int MOST = 512;
+    public static final int MAX_ENTRIES = 512;
     /** No number yet. */
-    public static final TakenNumbers NONE = new TakenNumbers(List.of());
+    public static final VersionHistory NONE = new VersionHistory(List.of());
 
     /** A number that is taken: by whose term, and by which content. */
-    public record Taken(long number, long term, ContentDigest digest) {}
+    public record Entry(long version, long term, ContentDigest digest) {}
 
     /** Lowest number first. */
-    private final List<Taken> entries;
+    private final List<Entry> entries;
 
-    private TakenNumbers(List<Taken> entries) {
+    private VersionHistory(List<Entry> entries) {
         this.entries = entries;
     }
 
@@ -44,7 +44,7 @@
 
     /** Whether a number is too low to be remembered beside those that are. */
     boolean forgets(long number) {
-        return entries.size() >= MOST && number < entries.get(0).number;
+        return entries.size() >= MAX_ENTRIES && number < entries.get(0).version;
     }
 
     private int find(long number) {
@@ -52,7 +52,7 @@
         int high = entries.size() - 1;
         while (low <= high) {
             int middle = (low + high) >>> 1;
-            long found = entries.get(middle).number;
+            long found = entries.get(middle).version;
             if (found == number) {
                 return middle;
             }
@@ -66,40 +66,40 @@
     }
 
     /** With one more. */
-    TakenNumbers with(long number, long term, ContentDigest digest) {
-        return merge(new TakenNumbers(List.of(new Taken(number, term, digest))));
+    VersionHistory with(long number, long term, ContentDigest digest) {
+        return merge(new VersionHistory(List.of(new Entry(number, term, digest))));
     }
 
     /** Both together; this one itself where the other adds nothing. */
-    TakenNumbers merge(TakenNumbers other) {
-        List<Taken> all = new ArrayList<>(entries.size() + other.entries.size());
+    VersionHistory merge(VersionHistory other) {
+        List<Entry> all = new ArrayList<>(entries.size() + other.entries.size());
         int mine = 0;
         int theirs = 0;
         while (mine < entries.size() || theirs < other.entries.size()) {
-            Taken a = mine < entries.size() ? entries.get(mine) : null;
-            Taken b = theirs < other.entries.size() ? other.entries.get(theirs) : null;
-            int order = a == null ? 1 : b == null ? -1 : Long.compare(a.number, b.number);
+            Entry a = mine < entries.size() ? entries.get(mine) : null;
+            Entry b = theirs < other.entries.size() ? other.entries.get(theirs) : null;
+            int order = a == null ? 1 : b == null ? -1 : Long.compare(a.version, b.version);
             boolean takes = order > 0 || order == 0 && b.term > a.term;
             all.add(takes ? b : a);
             mine += order <= 0 ? 1 : 0;
             theirs += order >= 0 ? 1 : 0;
         }
-        List<Taken> highest = all.subList(Math.max(0, all.size() - MOST), all.size());
-        return highest.equals(entries) ? this : new TakenNumbers(List.copyOf(highest));
+        List<Entry> highest = all.subList(Math.max(0, all.size() - MAX_ENTRIES), all.size());
+        return highest.equals(entries) ? this : new VersionHistory(List.copyOf(highest));
     }
 
     /** The same, vouched for by a term: what its primary begins with. */
-    TakenNumbers in(long term) {
-        return new TakenNumbers(entries.stream()
-                .map(one -> new Taken(one.number, term, one.digest))
+    VersionHistory in(long term) {
+        return new VersionHistory(entries.stream()
+                .map(one -> new Entry(one.version, term, one.digest))
                 .toList());
     }
 
     /** Those that the other lacks or has of an earlier term: what merged with the other makes this one. */
-    TakenNumbers since(TakenNumbers other) {
-        return new TakenNumbers(entries.stream()
+    VersionHistory since(VersionHistory other) {
+        return new VersionHistory(entries.stream()
                 .filter(one -> {
-                    int at = other.find(one.number);
+                    int at = other.find(one.version);
                     return at < 0 || other.entries.get(at).term < one.term;
                 })
                 .toList());
@@ -107,28 +107,28 @@
 
     void write(DataOutputStream out) throws IOException {
         out.writeInt(entries.size());
-        for (Taken one : entries) {
-            out.writeLong(one.number);
+        for (Entry one : entries) {
+            out.writeLong(one.version);
             out.writeLong(one.term);
             one.digest.write(out);
         }
     }
 
-    static TakenNumbers read(DataInputStream in) throws IOException {
+    static VersionHistory read(DataInputStream in) throws IOException {
         int count = in.readInt();
-        if (count < 0 || count > MOST) {
+        if (count < 0 || count > MAX_ENTRIES) {
             throw new IOException(count + " numbers");
         }
-        List<Taken> entries = new ArrayList<>(count);
+        List<Entry> entries = new ArrayList<>(count);
         long last = -1;
         for (int i = 0; i < count; i++) {
-            Taken one = new Taken(in.readLong(), in.readLong(), ContentDigest.read(in));
-            if (one.number <= last) {
+            Entry one = new Entry(in.readLong(), in.readLong(), ContentDigest.read(in));
+            if (one.version <= last) {
                 throw new IOException("numbers out of order");
             }
-            last = one.number;
+            last = one.version;
             entries.add(one);
         }
-        return new TakenNumbers(List.copyOf(entries));
+        return new VersionHistory(List.copyOf(entries));
     }
 }
--- a/src/main/java/gorsemast/store/View.java
+++ b/src/main/java/gorsemast/store/View.java
@@ -13,14 +13,15 @@
  * @param primary the id of the one that acknowledges; empty before the first
  * @param backups ids of those that hold all that is acknowledged, before it is
  * @param members who may vote; those that are neither primary nor backup are witnesses
- * @param before who could vote until this one's members have taken over; empty where they have
+ * @param previousMembers who could vote until this one's members have taken over; empty where they have
  */
-public record View(long term, String primary, List<String> backups, List<Member> members, List<Member> before) {
+public record View(
+        long term, String primary, List<String> backups, List<Member> members, List<Member> previousMembers) {
     private static final int MOST = 64;
 
     /** Whether these ids are more than half of the members, and of those before them. */
-    boolean majority(java.util.Collection<String> ids) {
-        return most(members, ids) && (before.isEmpty() || most(before, ids));
+    boolean isMajority(java.util.Collection<String> ids) {
+        return most(members, ids) && (previousMembers.isEmpty() || most(previousMembers, ids));
     }
 
     private static boolean most(List<Member> of, java.util.Collection<String> ids) {
@@ -28,15 +29,15 @@
     }
 
     /** Whether it may vote. */
-    public boolean has(String id) {
+    public boolean isVoter(String id) {
         return members.stream().anyMatch(m -> m.id().equals(id))
-                || before.stream().anyMatch(m -> m.id().equals(id));
+                || previousMembers.stream().anyMatch(m -> m.id().equals(id));
     }
 
     /** All that may vote. */
-    List<Member> all() {
+    List<Member> voters() {
         List<Member> all = new ArrayList<>(members);
-        before.stream().filter(member -> !all.contains(member)).forEach(all::add);
+        previousMembers.stream().filter(member -> !all.contains(member)).forEach(all::add);
         return all;
     }
 
@@ -47,7 +48,7 @@
         for (String backup : backups) {
             out.writeUTF(backup);
         }
-        for (List<Member> list : List.of(members, before)) {
+        for (List<Member> list : List.of(members, previousMembers)) {
             out.writeByte(list.size());
             for (Member member : list) {
                 member.write(out);
--- a/src/test/java/anisebend/SleeperTest.java
+++ b/src/test/java/anisebend/AdaptiveIntervalTest.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class SleeperTest {
-    private final Sleeper sleeper = new Sleeper(new SplittableRandom(1), 100, 1600);
+class AdaptiveIntervalTest {
+    private final AdaptiveInterval sleeper = new AdaptiveInterval(new SplittableRandom(1), 100, 1600);
 
     @Test
     void growsFromZeroToTheUnjitteredInitialInterval() {
@@ -50,7 +50,7 @@
     @Test
     void stepsDownAfterCountedSuccessesAndResetsTheCount() {
         sleeper.currentInterval = 1000;
-        for (int i = 1; i < Sleeper.THRESHOLD; i++) {
+        for (int i = 1; i < AdaptiveInterval.THRESHOLD; i++) {
             sleeper.success();
             assertEquals(1000, sleeper.currentInterval);
         }
@@ -62,7 +62,7 @@
     @Test
     void stepsToZeroBelowTheInitialInterval() {
         sleeper.currentInterval = 120;
-        for (int i = 0; i < Sleeper.THRESHOLD; i++) {
+        for (int i = 0; i < AdaptiveInterval.THRESHOLD; i++) {
             sleeper.success();
         }
         assertEquals(0, sleeper.currentInterval);
