--- a/src/test/java/anisebend/DecideTest.java
+++ b/src/test/java/anisebend/BalancingPolicyTest.java
@@ -10,9 +10,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
 import anisebend.Balancer.State;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class DecideTest {
+class BalancingPolicyTest {
     private final World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3");
 
     @Test
@@ -37,7 +37,7 @@
                 s.originKind(),
                 List.of(),
                 s.tenants(),
-                s.overShareWorth(),
+                s.overShareFactor(),
                 s.maxAttempts(),
                 s.mayCancel(),
                 s.mayProbe(),
@@ -58,7 +58,8 @@
     }
 
     private static void assertRefused(String setting, Balancer.Settings bad) {
-        String message = assertThrows(IllegalArgumentException.class, () -> new Decide(new Recorder()).start(0, 1, bad))
+        String message = assertThrows(
+                        IllegalArgumentException.class, () -> new BalancingPolicy(new Recorder()).start(0, 1, bad))
                 .getMessage();
         assertTrue(message.contains(setting), message);
     }
@@ -274,7 +275,7 @@
         one.answer("a", Code.ERROR).pass(100 * MS).answer("a", Code.ERROR).pass(100 * MS);
         String copy = one.serverOf("a");
         assertNotEquals(home, copy);
-        one.answer("a", Code.OK, 50 * MS, Note.MISS);
+        one.answer("a", Code.OK, 50 * MS, CacheStatus.MISS);
         for (int i = 0; i < 5; i++) {
             one.ask("b" + i, READ, "k");
             assertEquals(copy, one.serverOf("b" + i), "request " + i);
@@ -286,13 +287,13 @@
     void failingFetchesArePacedAndKeptOnesAreNot() {
         for (int i = 0; i < 20; i++) {
             world.ask("w" + i, READ, "kept" + i)
-                    .answer("w" + i, Code.OK, 50 * MS, Note.MISS)
+                    .answer("w" + i, Code.OK, 50 * MS, CacheStatus.MISS)
                     .pass(20 * MS);
         }
         for (int i = 0; i < 40; i++) {
             world.ask("f" + i, READ, "new" + i);
             if (world.sends("f" + i) > 0) {
-                world.answer("f" + i, Code.ERROR, 400 * MS, Note.NONE);
+                world.answer("f" + i, Code.ERROR, 400 * MS, CacheStatus.NONE);
             }
             world.pass(5 * MS);
         }
@@ -305,7 +306,7 @@
         for (int i = 0; i < 20; i++) {
             world.ask("h" + i, READ, "kept" + i);
             assertEquals(1, world.sends("h" + i), "a hit waits for nobody");
-            world.answer("h" + i, Code.OK, 20 * MS, Note.HIT);
+            world.answer("h" + i, Code.OK, 20 * MS, CacheStatus.HIT);
         }
         world.ask("s", SAVE, "kept3").answer("s", Code.OK).ask("i", READ, "kept3");
         assertEquals(0, world.sends("i"), "a write has voided it");
@@ -336,7 +337,7 @@
      */
     @Test
     void forecastsThatWereHitsCountForTheLanesThatLetThemOut() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, Note.MISS);
+        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         for (int i = 0; i < 6; i++) {
             world.ask("e" + i, READ, "lost" + i, i % 2);
         }
@@ -347,7 +348,7 @@
         for (int i = 0, met = world.recorder.sent.size(); i < 300; i++) {
             world.ask("f" + i, READ, "new" + i, i % 2).pass(15 * MS);
             for (; met < world.recorder.sent.size(); met++) {
-                world.answer(world.recorder.sent.get(met).request(), Code.OK, 15 * MS, Note.HIT);
+                world.answer(world.recorder.sent.get(met).request(), Code.OK, 15 * MS, CacheStatus.HIT);
             }
         }
         assertEquals(0, restOfTheLedger(world));
@@ -356,7 +357,7 @@
     /** Two in three forecasts are hits and every fetch fails: the hits do not hide that from the lanes. */
     @Test
     void hitsAmongForecastsDoNotHideALedgerThatFails() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, Note.MISS);
+        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         long rest = 0;
         for (int i = 0, met = 1; i < 600; i++) {
             world.ask("f" + i, READ, "new" + i, i % 2).pass(100 * MS);
@@ -366,7 +367,7 @@
                         world.recorder.sent.get(met).request(),
                         hit ? Code.OK : Code.ERROR,
                         50 * MS,
-                        hit ? Note.HIT : Note.NONE);
+                        hit ? CacheStatus.HIT : CacheStatus.NONE);
             }
             rest += restOfTheLedger(world);
         }
@@ -401,7 +402,7 @@
                         sent.request(),
                         bad ? Code.ERROR : Code.OK,
                         200 * MS,
-                        bad ? Note.NONE : hit ? Note.HIT : Note.MISS);
+                        bad ? CacheStatus.NONE : hit ? CacheStatus.HIT : CacheStatus.MISS);
             }
             rest += restOfTheLedger(one);
         }
@@ -411,7 +412,7 @@
     /** A ledger that fails all for long is let go at no server in turn: each answers no good one in between. */
     @Test
     void errorsOfAllServersGoOnBeingTheLedgers() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, Note.MISS);
+        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         long rest = 0;
         for (int i = 0, answered = 1; i < 400; i++) {
             world.ask("f" + i, READ, "new" + i, i % 2).pass(150 * MS);
@@ -426,21 +427,21 @@
     /** Paced trials find the way back when the ledger answers again, without anything having to succeed first. */
     @Test
     void fetchesComeBackByThemselves() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, Note.MISS);
+        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         int answered = 1;
         for (int i = 0; i < 1_000; i++) {
             if (i < 60) {
                 world.ask("f" + i, READ, "new" + i);
             }
             for (; answered < world.recorder.sent.size(); answered++) {
-                world.answer(world.recorder.sent.get(answered).request(), Code.ERROR, 400 * MS, Note.NONE);
+                world.answer(world.recorder.sent.get(answered).request(), Code.ERROR, 400 * MS, CacheStatus.NONE);
             }
             world.pass(10 * MS);
         }
         for (int i = 0; i < 30; i++) {
             world.ask("g" + i, READ, "later" + i);
             assertEquals(1, world.sends("g" + i), "after so long a rest nothing is left of the intervals");
-            world.answer("g" + i, Code.OK, 50 * MS, Note.MISS);
+            world.answer("g" + i, Code.OK, 50 * MS, CacheStatus.MISS);
         }
     }
 
@@ -449,7 +450,7 @@
     void lateFetchesLeaveTheServersLanesAlone() {
         for (int i = 0; i < 30; i++) {
             world.ask("w" + i, READ, "k")
-                    .answer("w" + i, Code.OK, 450 * MS, Note.MISS)
+                    .answer("w" + i, Code.OK, 450 * MS, CacheStatus.MISS)
                     .pass(20 * MS);
         }
         long longest = world.balancer.view(world.now).servers().stream()
@@ -459,7 +460,7 @@
         assertEquals(0, longest);
         for (int i = 0; i < 30; i++) {
             world.ask("l" + i, READ, "k")
-                    .answer("l" + i, Code.OK, 450 * MS, Note.HIT)
+                    .answer("l" + i, Code.OK, 450 * MS, CacheStatus.HIT)
                     .pass(20 * MS);
         }
         assertTrue(world.balancer.view(world.now).servers().stream().anyMatch(s -> s.meanInterval() > 0));
@@ -897,8 +898,10 @@
     void strayEventsAreHarmless() {
         world.ask("r", READ, "k");
         int before = world.recorder.sent.size();
-        world.balancer.outcome(world.now, new Balancer.Outcome("r", 5, Code.FULL, 0, false, Balancer.Note.NONE, null));
-        world.balancer.outcome(world.now, new Balancer.Outcome("x", 0, Code.OK, 0, true, Balancer.Note.NONE, null));
+        world.balancer.outcome(
+                world.now, new Balancer.Outcome("r", 5, Code.FULL, 0, false, Balancer.CacheStatus.NONE, null));
+        world.balancer.outcome(
+                world.now, new Balancer.Outcome("x", 0, Code.OK, 0, true, Balancer.CacheStatus.NONE, null));
         world.balancer.timer(world.now, 123);
         world.balancer.abandoned(world.now, "y");
         world.balancer.probed(world.now, "z", true, null);
@@ -983,7 +986,7 @@
         for (int i = 0; i < 20; i++) {
             one.ask("s" + i, READ, "k" + i).pass(300 * MS);
             if (one.sends("s" + i) == 1) {
-                one.answer("s" + i, Code.OK, 1_500 * MS, Note.MISS);
+                one.answer("s" + i, Code.OK, 1_500 * MS, CacheStatus.MISS);
             }
             one.pass(1_000 * MS);
         }
@@ -999,7 +1002,7 @@
     private static World telling() {
         World one = new World(false).list(ListKind.FULL, "a1");
         one.ask("first", READ, "other")
-                .answer("first", Code.OK, 50 * MS, Note.MISS)
+                .answer("first", Code.OK, 50 * MS, CacheStatus.MISS)
                 .pass(1_000 * MS);
         return one;
     }
@@ -1011,10 +1014,10 @@
             one.ask("r" + i, READ, "k").pass(5 * MS);
         }
         assertEquals(2, one.recorder.sent.size(), "one fetch of the key");
-        one.answer("r0", Code.OK, 60 * MS, Note.MISS).pass(100 * MS);
+        one.answer("r0", Code.OK, 60 * MS, CacheStatus.MISS).pass(100 * MS);
         assertEquals(6, one.recorder.sent.size(), "the others leave with its answer");
         for (int i = 1; i < 5; i++) {
-            one.answer("r" + i, Code.OK, 10 * MS, Note.HIT);
+            one.answer("r" + i, Code.OK, 10 * MS, CacheStatus.HIT);
         }
         assertEquals(0, one.recorder.count("refuse"));
     }
@@ -1027,11 +1030,11 @@
                 .ask("last", READ, "k")
                 .pass(5 * MS);
         one.balancer.abandoned(one.now, "leaves");
-        one.answer("leaves", Code.CANCELLED, 5 * MS, Note.NONE).pass(300 * MS);
+        one.answer("leaves", Code.CANCELLED, 5 * MS, CacheStatus.NONE).pass(300 * MS);
         List<String> second =
                 Stream.of("fails", "last").filter(id -> one.sends(id) == 1).toList();
         assertEquals(1, second.size(), "one of the two fetches now");
-        one.answer(second.get(0), Code.ERROR, 50 * MS, Note.MISS).pass(400 * MS);
+        one.answer(second.get(0), Code.ERROR, 50 * MS, CacheStatus.MISS).pass(400 * MS);
         assertTrue(one.sends("fails") >= 1 && one.sends("last") >= 1, "the other did not wait for its retry");
     }
 
@@ -1041,7 +1044,7 @@
         World one = telling();
         one.ask("leads", READ, "k").ask("follows", READ, "k");
         assertEquals(0, one.sends("follows"));
-        one.answer("leads", Code.FULL, 5 * MS, Note.HIT);
+        one.answer("leads", Code.FULL, 5 * MS, CacheStatus.HIT);
         assertEquals(1, one.sends("follows"));
     }
 
@@ -1050,8 +1053,8 @@
         World one = telling();
         one.ask("leads", READ, "k").ask("follows", READ, "k").pass(900 * MS);
         assertTrue(one.recorder.has("refuse follows"));
-        long[] concluded = one.balancer.view(one.now).concluded();
-        assertEquals(0, concluded[Balancer.Why.NO_SERVER.ordinal()]);
-        assertEquals(1, concluded[Balancer.Why.TIME_UP.ordinal()]);
+        long[] concluded = one.balancer.view(one.now).unservedByReason();
+        assertEquals(0, concluded[Balancer.UnservedReason.NO_SERVER.ordinal()]);
+        assertEquals(1, concluded[Balancer.UnservedReason.TIME_UP.ordinal()]);
     }
 }
--- a/src/test/java/anisebend/ExampleTest.java
+++ b/src/test/java/anisebend/ExampleTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.Effect;
 import anisebend.Balancer.Group;
 import anisebend.Balancer.ListKind;
-import anisebend.Balancer.Note;
 import anisebend.Balancer.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,7 +17,7 @@
     void servesARequest() {
         Recorder actions = new Recorder();
 
-        Balancer balancer = new Decide(actions);
+        Balancer balancer = new BalancingPolicy(actions);
         long now = 0; // microseconds, from any origin
         var read = new Balancer.RequestClass(Effect.SAFE, Group.ALL, 0, 500_000, 2_000_000, 1);
         balancer.start(
@@ -44,7 +44,7 @@
                         0));
         balancer.servers(now, ListKind.FULL, List.of(new Balancer.Server("10.0.0.1:80", 0, 0, 0, State.READY, 1, 0)));
         balancer.request(now, new Balancer.Request("r1", 0, 0, "key", now + 1_000_000, false));
-        balancer.outcome(now + 20_000, new Balancer.Outcome("r1", 0, Code.OK, 20_000, true, Note.HIT, null));
+        balancer.outcome(now + 20_000, new Balancer.Outcome("r1", 0, Code.OK, 20_000, true, CacheStatus.HIT, null));
 
         assertEquals(
                 "send r1 10.0.0.1:80",
--- a/src/test/java/anisebend/RandomEvents.java
+++ b/src/test/java/anisebend/RandomEvents.java
@@ -130,7 +130,7 @@
         world.balancer.outcome(
                 world.now,
                 new Balancer.Outcome(
-                        id, ask.attempts - 1, code, world.now - ask.sentAt, over, Balancer.Note.NONE, null));
+                        id, ask.attempts - 1, code, world.now - ask.sentAt, over, Balancer.CacheStatus.NONE, null));
         world.collectTimers();
     }
 
--- a/src/test/java/anisebend/RetuneTest.java
+++ b/src/test/java/anisebend/ReconfigureTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Other settings while requests are open. */
-class RetuneTest {
+class ReconfigureTest {
     private final World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3");
 
     private static Balancer.Settings with(int maxAttempts, Balancer.RequestClass... further) {
@@ -26,7 +26,7 @@
                 s.originKind(),
                 classes,
                 s.tenants(),
-                s.overShareWorth(),
+                s.overShareFactor(),
                 maxAttempts,
                 s.mayCancel(),
                 s.mayProbe(),
@@ -48,7 +48,7 @@
     @Test
     void openRequestsKeepTheirAttemptsAndNewOnesGetFewer() {
         world.ask("old", READ, "k");
-        world.balancer.retune(world.now, with(1));
+        world.balancer.reconfigure(world.now, with(1));
         world.ask("new", READ, "j");
         world.answer("new", Code.ERROR).pass(1000 * MS);
         assertEquals(1, world.sends("new"));
@@ -61,7 +61,7 @@
     void aFurtherClassGoesByItsOwnRulesAtServersThatWereKnownBefore() {
         int further = World.settings(false).classes().size();
         world.ask("before", READ, "k").answer("before", Code.OK).pass(100 * MS);
-        world.balancer.retune(world.now, with(4, unsafe(2000 * MS)));
+        world.balancer.reconfigure(world.now, with(4, unsafe(2000 * MS)));
         world.ask("once", further, "k").answer("once", Code.ERROR).pass(1000 * MS);
         assertEquals(1, world.sends("once"), "it may have run");
         assertTrue(world.recorder.has("fail once"));
@@ -79,7 +79,7 @@
     private static int refusedOverShare(int balancers) {
         World one = new World(false).list(ListKind.FULL, "a1");
         Balancer.Settings s = World.settings(false);
-        one.balancer.retune(
+        one.balancer.reconfigure(
                 one.now,
                 new Balancer.Settings(
                         balancers,
@@ -87,7 +87,7 @@
                         s.originKind(),
                         s.classes(),
                         s.tenants(),
-                        s.overShareWorth(),
+                        s.overShareFactor(),
                         s.maxAttempts(),
                         s.mayCancel(),
                         s.mayProbe(),
@@ -109,7 +109,7 @@
     @Test
     void changesNothingWhereASettingCannotBeWorkedWith() {
         for (Balancer.Settings bad : List.of(with(0), with(4, unsafe(0)))) {
-            assertThrows(IllegalArgumentException.class, () -> world.balancer.retune(world.now, bad));
+            assertThrows(IllegalArgumentException.class, () -> world.balancer.reconfigure(world.now, bad));
         }
         world.ask("read", READ, "k").answer("read", Code.ERROR).pass(1000 * MS);
         assertEquals(2, world.sends("read"));
--- a/src/test/java/anisebend/World.java
+++ b/src/test/java/anisebend/World.java
@@ -15,7 +15,7 @@
     static final long GRACE = 250 * MS;
 
     final Recorder recorder = new Recorder();
-    final Balancer balancer = new Decide(recorder);
+    final Balancer balancer = new BalancingPolicy(recorder);
     final boolean aside;
     private final TreeMap<Long, Integer> timers = new TreeMap<>();
     private int timersSeen;
@@ -43,7 +43,7 @@
                 s.originKind(),
                 s.classes(),
                 s.tenants(),
-                s.overShareWorth(),
+                s.overShareFactor(),
                 s.maxAttempts(),
                 s.mayCancel(),
                 s.mayProbe(),
@@ -122,10 +122,10 @@
     }
 
     World answer(String id, Balancer.Code code, long elapsed) {
-        return answer(id, code, elapsed, Balancer.Note.NONE);
+        return answer(id, code, elapsed, Balancer.CacheStatus.NONE);
     }
 
-    World answer(String id, Balancer.Code code, long elapsed, Balancer.Note note) {
+    World answer(String id, Balancer.Code code, long elapsed, Balancer.CacheStatus note) {
         long attempts =
                 recorder.sent.stream().filter(s -> s.request().equals(id)).count();
         boolean over = code == Balancer.Code.OK;
--- a/src/test/java/anisebend/net/UpstreamTest.java
+++ b/src/test/java/anisebend/net/UpstreamTest.java
@@ -8,10 +8,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
-import anisebend.Balancer.Note;
 import anisebend.net.Loopback.Server;
-import gorsemast.http.Passage;
+import gorsemast.http.ResponseSink;
 import gorsemast.http.Upstream;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -44,13 +44,13 @@
 class UpstreamTest {
     private static final long LONG_MICROS = 60_000_000;
 
-    private record Ended(Code code, Note note) {}
+    private record Ended(Code code, CacheStatus note) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final BlockingQueue<Ended> endings = new LinkedBlockingQueue<>();
     private volatile boolean ready = true;
     private final Upstream upstream =
-            new Upstream(group.next(), Upstream.IN_SERVICE, node -> ready, 4, 60_000, 2_000, 1);
+            new Upstream(group.next(), Upstream.CACHE_NODE_DIALECT, node -> ready, 4, 60_000, 2_000, 1);
 
     @AfterEach
     void stop() {
@@ -106,7 +106,7 @@
         "500, X-Unprocessed: 1, ERROR, NONE",
         "302, X-Other: 1, ERROR, NONE"
     })
-    void tellsOutcomesByTheProtocolsTable(int status, String header, Code code, Note note) throws Exception {
+    void tellsOutcomesByTheProtocolsTable(int status, String header, Code code, CacheStatus note) throws Exception {
         try (Server server = new Server((request, socket) -> write(socket, answer(status, header + "\r\n", "v")))) {
             send(port(server), LONG_MICROS);
             assertEquals(new Ended(code, note), ended());
@@ -421,29 +421,33 @@
             FullHttpRequest message =
                     new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/api/k", Unpooled.EMPTY_BUFFER);
             group.next()
-                    .submit(() -> upstream.stalledAfter(20_000)
-                            .send(node(port(server)), message, LONG_MICROS, false, new Upstream.Ending() {
+                    .submit(() -> upstream.stallTimeout(20_000)
+                            .send(node(port(server)), message, LONG_MICROS, false, new Upstream.AttemptListener() {
                                 @Override
-                                public void ended(Code code, Note note, FullHttpResponse answer) {
+                                public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                                     told.add("ended " + code);
                                 }
 
                                 @Override
-                                public Passage begins(Note note, HttpResponse head, long length, Passage.Flow flow) {
+                                public ResponseSink streaming(
+                                        CacheStatus note,
+                                        HttpResponse head,
+                                        long length,
+                                        ResponseSink.FlowControl flow) {
                                     told.add("begins " + length);
-                                    return new Passage() {
+                                    return new ResponseSink() {
                                         @Override
                                         public void part(ByteBuf bytes) {
                                             bytes.skipBytes(bytes.readableBytes());
                                         }
 
                                         @Override
-                                        public void ended() {
+                                        public void completed() {
                                             told.add("whole");
                                         }
 
                                         @Override
-                                        public void broken() {
+                                        public void aborted() {
                                             told.add("broken");
                                         }
                                     };
--- a/src/test/java/gorsemast/admission/ConcurrencyLimiterTest.java
+++ b/src/test/java/gorsemast/admission/ConcurrencyLimiterTest.java
@@ -62,7 +62,7 @@
                 entered[which]++;
                 held.add(new Held(now + micros, kind, micros));
             }
-            assertThat(admission.taken()).isBetween(0, PLACES).isEqualTo(held.size());
+            assertThat(admission.slotsInUse()).isBetween(0, PLACES).isEqualTo(held.size());
         }
         return new double[] {(double) entered[0] / asked[0], (double) entered[1] / asked[1]};
     }
@@ -160,7 +160,7 @@
                     drawn -= all.get(which++).perSecond;
                 }
                 ask(all.get(which), tallies.get(all.get(which).kind.name()));
-                assertThat(limiter.taken()).isBetween(0, PLACES);
+                assertThat(limiter.slotsInUse()).isBetween(0, PLACES);
             }
             return tallies;
         }
@@ -180,9 +180,9 @@
             };
             switch (limiter.acquire(one.kind, now, waiter)) {
                 case ADMITTED -> hold(one, tally);
-                case WAITS -> {
+                case QUEUED -> {
                     tally.waited++;
-                    endings.add(new Ending(now + one.kind.longestWaitMicros(), () -> limiter.expire(waiter)));
+                    endings.add(new Ending(now + one.kind.maxWaitMicros(), () -> limiter.expire(waiter)));
                 }
                 default -> {
                     // it comes back as another request
@@ -239,15 +239,15 @@
         }
         long now = 3_000_000;
         assertThat(limiter.acquire(CALL, now, NOBODY)).as("holds all").isEqualTo(Admission.REFUSED);
-        assertThat(limiter.acquire(light, now, telling("light", told))).isEqualTo(Admission.WAITS);
-        assertThat(limiter.acquire(lighter, now, telling("lighter", told))).isEqualTo(Admission.WAITS);
+        assertThat(limiter.acquire(light, now, telling("light", told))).isEqualTo(Admission.QUEUED);
+        assertThat(limiter.acquire(lighter, now, telling("lighter", told))).isEqualTo(Admission.QUEUED);
         assertThat(told).containsExactly("light refused");
         assertThat(limiter.acquire(light, now, telling("light", told)))
                 .as("gives way to nobody")
                 .isEqualTo(Admission.REFUSED);
         limiter.release(CALL, SHORT_MICROS, now);
         assertThat(told).containsExactly("light refused", "lighter admitted");
-        assertThat(limiter.taken()).isEqualTo(PLACES);
+        assertThat(limiter.slotsInUse()).isEqualTo(PLACES);
         assertThat(limiter.waiting()).isZero();
     }
 
@@ -257,12 +257,12 @@
         List<String> told = new ArrayList<>();
         Waiter waiter = telling("one", told);
         assertThat(limiter.acquire(CALL, 0, NOBODY)).isEqualTo(Admission.ADMITTED);
-        assertThat(limiter.acquire(LONG, 0, waiter)).isEqualTo(Admission.WAITS);
+        assertThat(limiter.acquire(LONG, 0, waiter)).isEqualTo(Admission.QUEUED);
         assertThat(limiter.withdraw(waiter)).isTrue();
         assertThat(limiter.withdraw(waiter)).as("once only").isFalse();
         limiter.release(CALL, SHORT_MICROS, SHORT_MICROS);
         assertThat(told).isEmpty();
-        assertThat(limiter.taken()).isZero();
+        assertThat(limiter.slotsInUse()).isZero();
     }
 
     /** A frequent kind whose requests end at once, as what they need is taken: they would wait on that socket one after the other. */
@@ -282,12 +282,12 @@
         List<String> told = new ArrayList<>();
         Waiter first = telling("first", told);
         assertThat(limiter.acquire(CALL, 0, NOBODY)).isEqualTo(Admission.ADMITTED);
-        assertThat(limiter.acquire(LONG, 0, first)).isEqualTo(Admission.WAITS);
+        assertThat(limiter.acquire(LONG, 0, first)).isEqualTo(Admission.QUEUED);
         assertThat(limiter.expire(first)).isTrue();
         assertThat(limiter.acquire(LONG, 100_000, NOBODY)).isEqualTo(Admission.REFUSED);
         limiter.release(CALL, SHORT_MICROS, 200_000);
         assertThat(limiter.acquire(CALL, 200_000, NOBODY)).isEqualTo(Admission.ADMITTED);
-        assertThat(limiter.acquire(LONG, 200_000, telling("next", told))).isEqualTo(Admission.WAITS);
+        assertThat(limiter.acquire(LONG, 200_000, telling("next", told))).isEqualTo(Admission.QUEUED);
         assertThat(told).isEmpty();
     }
 
--- a/src/test/java/gorsemast/admission/ShedderTest.java
+++ b/src/test/java/gorsemast/admission/LoadShedderTest.java
@@ -7,35 +7,35 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ShedderTest {
+class LoadShedderTest {
     private static final int READ = 0;
     private static final int TOPUP = 1;
     private static final int TRANSFER = 2;
     private static final long TICK = 10_000;
 
-    private final Shedder shedder = new Shedder(new double[] {1, 10, 2}, new double[] {0.5, 0.5});
+    private final LoadShedder shedder = new LoadShedder(new double[] {1, 10, 2}, new double[] {0.5, 0.5});
     private final SplittableRandom random = new SplittableRandom(5);
     private long now = 1_000_000;
 
     private void run(long millis, long late) {
         for (long left = millis * 1000; left > 0; left -= TICK) {
             now += TICK;
-            shedder.late(now, late);
+            shedder.recordLateness(now, late);
         }
     }
 
     private double part(int type, int tenant, boolean repeat) {
         int gone = 0;
         for (int i = 0; i < 1_000; i++) {
-            gone += shedder.turnsAway(type, tenant, repeat, random.nextDouble()) ? 1 : 0;
-            shedder.turnsAway(type, 1 - tenant, repeat, 1); // so that both tenants ask for the same
+            gone += shedder.shouldShed(type, tenant, repeat, random.nextDouble()) ? 1 : 0;
+            shedder.shouldShed(type, 1 - tenant, repeat, 1); // so that both tenants ask for the same
         }
         return gone / 1000.0;
     }
 
     @Test
     void turnsNobodyAwayWhileItIsInTime() {
-        run(5_000, Shedder.TARGET_MICROS);
+        run(5_000, LoadShedder.TARGET_MICROS);
         assertEquals(0, shedder.level());
         assertEquals(0, part(READ, 0, true));
     }
@@ -72,14 +72,14 @@
     @Test
     void whatIsBeyondAShareGoesBeforeAnythingWithin() {
         for (int i = 0; i < 200; i++) {
-            shedder.turnsAway(READ, 0, false, 0.5);
+            shedder.shouldShed(READ, 0, false, 0.5);
         }
         run(300, 30_000);
         int beyond = 0;
         int within = 0;
         for (int i = 0; i < 100; i++) {
-            beyond += shedder.turnsAway(TOPUP, 0, false, random.nextDouble()) ? 1 : 0;
-            within += i % 4 == 0 && shedder.turnsAway(READ, 1, false, random.nextDouble()) ? 1 : 0;
+            beyond += shedder.shouldShed(TOPUP, 0, false, random.nextDouble()) ? 1 : 0;
+            within += i % 4 == 0 && shedder.shouldShed(READ, 1, false, random.nextDouble()) ? 1 : 0;
         }
         assertTrue(beyond > 20, "beyond: " + beyond);
         assertEquals(0, within);
@@ -98,24 +98,24 @@
         assertTrue(shedder.level() > 3);
         run(2_000, 0);
         assertEquals(0, shedder.level());
-        assertFalse(shedder.turnsAway(READ, 0, true, 0));
+        assertFalse(shedder.shouldShed(READ, 0, true, 0));
     }
 
     @Test
     void toldToComeBackLaterTheLongerItLastsAndSpread() {
-        long before = shedder.retryAfter(0.5);
+        long before = shedder.retryAfterMicros(0.5);
         run(2_000, 30_000);
-        assertTrue(shedder.retryAfter(0.5) > 2 * before);
-        assertEquals(3.0, (double) shedder.retryAfter(1) / shedder.retryAfter(0), 0.01);
+        assertTrue(shedder.retryAfterMicros(0.5) > 2 * before);
+        assertEquals(3.0, (double) shedder.retryAfterMicros(1) / shedder.retryAfterMicros(0), 0.01);
     }
 
     @Test
     void latenessShowsBeforeTheTickRuns() {
         Lateness lateness = new Lateness(0, TICK);
-        assertEquals(0, lateness.at(TICK - 1));
-        assertEquals(70_000, lateness.at(TICK + 70_000), "the loop was away and has not run it yet");
-        assertEquals(70_000, lateness.ran(TICK + 70_000));
-        assertEquals(70_000, lateness.at(TICK + 70_001), "what is handled right behind it was as late");
-        assertEquals(0, lateness.at(2 * TICK + 70_000));
+        assertEquals(0, lateness.estimate(TICK - 1));
+        assertEquals(70_000, lateness.estimate(TICK + 70_000), "the loop was away and has not run it yet");
+        assertEquals(70_000, lateness.tick(TICK + 70_000));
+        assertEquals(70_000, lateness.estimate(TICK + 70_001), "what is handled right behind it was as late");
+        assertEquals(0, lateness.estimate(2 * TICK + 70_000));
     }
 }
--- a/src/test/java/gorsemast/admission/ComeBackTest.java
+++ b/src/test/java/gorsemast/admission/RetryDelayTest.java
@@ -6,30 +6,30 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ComeBackTest {
+class RetryDelayTest {
     private static final int MANY = 2_000;
 
     @Test
     void aSingleRefusalComesBackSoonAfterTheWait() {
-        long told = new ComeBack().refused(5_000, 0.5);
-        assertTrue(told >= 5_000 + ComeBack.FIRST_MICROS && told < 5_000 + 2 * ComeBack.FIRST_MICROS, "" + told);
+        long told = new RetryDelay().recordRefused(5_000, 0.5);
+        assertTrue(told >= 5_000 + RetryDelay.FIRST_MICROS && told < 5_000 + 2 * RetryDelay.FIRST_MICROS, "" + told);
     }
 
     @Test
     void itGrowsWhileAStormLastsAndFallsAfterIt() {
-        ComeBack comeBack = new ComeBack();
+        RetryDelay comeBack = new RetryDelay();
         long before = 0;
         for (int i = 0; i < MANY; i++) {
-            long told = comeBack.refused(0, 0.5);
+            long told = comeBack.recordRefused(0, 0.5);
             assertTrue(told >= before, "it never falls while all are refused");
             before = told;
         }
-        assertEquals(ComeBack.MOST_MICROS, before, ComeBack.MOST_MICROS / 100.0);
+        assertEquals(RetryDelay.MOST_MICROS, before, RetryDelay.MOST_MICROS / 100.0);
         for (int i = 0; i < MANY; i++) {
-            comeBack.served();
+            comeBack.recordServed();
         }
-        assertEquals(0, comeBack.part(), 0.001);
-        assertTrue(comeBack.refused(0, 0.5) < 2 * ComeBack.FIRST_MICROS);
+        assertEquals(0, comeBack.refusedFraction(), 0.001);
+        assertTrue(comeBack.recordRefused(0, 0.5) < 2 * RetryDelay.FIRST_MICROS);
     }
 
     @Test
@@ -38,8 +38,8 @@
         long least = Long.MAX_VALUE;
         long most = 0;
         for (int i = 0; i < MANY; i++) {
-            ComeBack comeBack = new ComeBack();
-            long told = comeBack.refused(100_000, random.nextDouble());
+            RetryDelay comeBack = new RetryDelay();
+            long told = comeBack.recordRefused(100_000, random.nextDouble());
             least = Math.min(least, told);
             most = Math.max(most, told);
         }
@@ -48,15 +48,15 @@
 
     @Test
     void halfRefusedIsHalfWay() {
-        ComeBack comeBack = new ComeBack();
+        RetryDelay comeBack = new RetryDelay();
         SplittableRandom random = new SplittableRandom(11);
         for (int i = 0; i < MANY; i++) {
             if (random.nextBoolean()) {
-                comeBack.served();
+                comeBack.recordServed();
             } else {
-                comeBack.refused(0, random.nextDouble());
+                comeBack.recordRefused(0, random.nextDouble());
             }
         }
-        assertEquals(0.5, comeBack.part(), 0.2);
+        assertEquals(0.5, comeBack.refusedFraction(), 0.2);
     }
 }
--- a/src/test/java/gorsemast/cache/ContentTest.java
+++ b/src/test/java/gorsemast/cache/ContentTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gorsemast.gossip.PurgeNews;
+import gorsemast.gossip.PurgeRequest;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -10,41 +10,42 @@
 
 /** Copies and purges, homes that fail, and a ceiling that holds over any window. */
 class ContentTest {
-    private static final String KEY = CopyCache.key("a.example", "/x/1");
+    private static final String KEY = ResponseCache.key("a.example", "/x/1");
 
-    private static Copy copy(long asked, String... tags) {
-        return new Copy(200, List.of(), new byte[1_000], Set.of(tags), asked, 10_000_000);
+    private static CachedResponse copy(long asked, String... tags) {
+        return new CachedResponse(200, List.of(), new byte[1_000], Set.of(tags), asked, 10_000_000);
     }
 
     @Test
     void aCopyIsServedForItsTimeFromWhenItWasAskedFor() {
-        CopyCache shelf = new CopyCache(1 << 20);
+        ResponseCache shelf = new ResponseCache(1 << 20);
         shelf.put(KEY, copy(1_000_000));
-        assertThat(shelf.get(10_999_999, KEY, 60_000_000)).isNotNull();
-        assertThat(shelf.get(11_000_000, KEY, 60_000_000)).isNull();
-        assertThat(shelf.get(3_000_000, KEY, 2_000_000))
+        assertThat(shelf.getFresh(10_999_999, KEY, 60_000_000)).isNotNull();
+        assertThat(shelf.getFresh(11_000_000, KEY, 60_000_000)).isNull();
+        assertThat(shelf.getFresh(3_000_000, KEY, 2_000_000))
                 .as("the route's time became shorter")
                 .isNull();
     }
 
     @Test
     void aPurgeHoldsAgainstWhatWasAskedForBeforeIt() {
-        CopyCache shelf = new CopyCache(1 << 20);
-        long before = shelf.number();
-        shelf.purge(new PurgeNews("p", "a.example", "/x/1", ""));
-        long after = shelf.number();
-        shelf.purge(new PurgeNews("t", "", "", "red"));
+        ResponseCache shelf = new ResponseCache(1 << 20);
+        long before = shelf.lastPurgeNumber();
+        shelf.purge(new PurgeRequest("p", "a.example", "/x/1", ""));
+        long after = shelf.lastPurgeNumber();
+        shelf.purge(new PurgeRequest("t", "", "", "red"));
         assertThat(shelf.purgedSince(before, KEY, copy(0))).isTrue();
         assertThat(shelf.purgedSince(after, KEY, copy(0))).isFalse();
         assertThat(shelf.purgedSince(after, KEY, copy(0, "red"))).isTrue();
-        assertThat(shelf.purgedSince(shelf.number(), KEY, copy(0, "red"))).isFalse();
-        assertThat(shelf.purgedSince(before, CopyCache.key("a.example", "/x/1?q"), copy(0)))
+        assertThat(shelf.purgedSince(shelf.lastPurgeNumber(), KEY, copy(0, "red")))
+                .isFalse();
+        assertThat(shelf.purgedSince(before, ResponseCache.key("a.example", "/x/1?q"), copy(0)))
                 .as("with a query too")
                 .isTrue();
-        assertThat(shelf.purgedSince(before, CopyCache.key("a.example", "/x/12"), copy(0)))
+        assertThat(shelf.purgedSince(before, ResponseCache.key("a.example", "/x/12"), copy(0)))
                 .isFalse();
         for (int i = 0; i < 5_000; i++) {
-            shelf.purge(new PurgeNews("n" + i, "b.example", "/" + i, ""));
+            shelf.purge(new PurgeRequest("n" + i, "b.example", "/" + i, ""));
         }
         assertThat(shelf.purgedSince(after, KEY, copy(0)))
                 .as("more purges than are remembered")
@@ -53,73 +54,73 @@
 
     @Test
     void copiesAreHeldWithinTheirRoomAndPurgedByTag() {
-        CopyCache shelf = new CopyCache(100_000);
+        ResponseCache shelf = new ResponseCache(100_000);
         for (int i = 0; i < 1_000; i++) {
             shelf.put("k" + i, copy(0, i % 2 == 0 ? "even" : "odd"));
             assertThat(shelf.bytes()).isLessThanOrEqualTo(100_000);
         }
-        shelf.purge(new PurgeNews("t", "", "", "even"));
-        assertThat(shelf.held("k998")).isNull();
-        assertThat(shelf.held("k999")).isNotNull();
-        shelf.sweep(20_000_000);
+        shelf.purge(new PurgeRequest("t", "", "", "even"));
+        assertThat(shelf.peek("k998")).isNull();
+        assertThat(shelf.peek("k999")).isNotNull();
+        shelf.removeExpired(20_000_000);
         assertThat(shelf.bytes()).isZero();
     }
 
     @Test
     void aHomeThatFailsIsPassedOverAndTriedByOneRequestAtATime() {
-        Homes homes = new Homes("self", "here");
-        homes.edges(Map.of("self", "there", "other", "here"));
+        HomeSelector homes = new HomeSelector("self", "here");
+        homes.updateEdges(Map.of("self", "there", "other", "here"));
         String key = java.util.stream.IntStream.range(0, 100)
                 .mapToObj(i -> "k" + i)
-                .filter(k -> homes.of(0, k, false).equals("other"))
+                .filter(k -> homes.homeOf(0, k, false).equals("other"))
                 .findFirst()
                 .orElseThrow();
-        homes.failed(1_000_000, "other", 900_000);
-        assertThat(homes.of(1_100_000, key, false)).isEqualTo("self");
-        assertThat(homes.of(2_000_000, key, false)).as("a trial").isEqualTo("other");
-        assertThat(homes.of(2_000_001, key, false)).as("and only one").isEqualTo("self");
-        homes.failed(2_150_000, "other", 2_000_000);
-        assertThat(homes.of(2_700_000, key, false))
+        homes.recordFailure(1_000_000, "other", 900_000);
+        assertThat(homes.homeOf(1_100_000, key, false)).isEqualTo("self");
+        assertThat(homes.homeOf(2_000_000, key, false)).as("a trial").isEqualTo("other");
+        assertThat(homes.homeOf(2_000_001, key, false)).as("and only one").isEqualTo("self");
+        homes.recordFailure(2_150_000, "other", 2_000_000);
+        assertThat(homes.homeOf(2_700_000, key, false))
                 .as("for longer after another failure")
                 .isEqualTo("self");
-        homes.answered(2_700_000, "other");
-        assertThat(homes.of(2_700_001, key, false)).isEqualTo("other");
+        homes.recordAnswer(2_700_000, "other");
+        assertThat(homes.homeOf(2_700_001, key, false)).isEqualTo("other");
     }
 
     @Test
     void aHomeThatAnswersOthersMeanwhileIsSlowAndNotSilent() {
-        Homes homes = new Homes("self", "here");
-        homes.edges(Map.of("self", "there", "other", "here"));
-        homes.answered(1_500_000, "other");
-        assertThat(homes.failed(2_000_000, "other", 1_400_000)).isFalse();
-        assertThat(homes.passesOver(2_000_001, "other")).isFalse();
-        assertThat(homes.failed(2_000_000, "other", 1_500_000)).isTrue();
-        assertThat(homes.passesOver(2_000_001, "other")).isTrue();
+        HomeSelector homes = new HomeSelector("self", "here");
+        homes.updateEdges(Map.of("self", "there", "other", "here"));
+        homes.recordAnswer(1_500_000, "other");
+        assertThat(homes.recordFailure(2_000_000, "other", 1_400_000)).isFalse();
+        assertThat(homes.isSkipped(2_000_001, "other")).isFalse();
+        assertThat(homes.recordFailure(2_000_000, "other", 1_500_000)).isTrue();
+        assertThat(homes.isSkipped(2_000_001, "other")).isTrue();
     }
 
     @Test
     void aZonesHomesAreInTheZone() {
-        Homes homes = new Homes("self", "here");
-        homes.edges(Map.of("self", "here", "far", "there"));
+        HomeSelector homes = new HomeSelector("self", "here");
+        homes.updateEdges(Map.of("self", "here", "far", "there"));
         for (int i = 0; i < 50; i++) {
-            assertThat(homes.of(0, "k" + i, true)).isEqualTo("self");
+            assertThat(homes.homeOf(0, "k" + i, true)).isEqualTo("self");
         }
     }
 
     @Test
     void noWindowHoldsMoreThanTheCeilingThroughAnotherLifeToo() {
         double part = 100.0 / 4;
-        double rights = OriginRights.whole(part, 5_000_000);
+        double rights = OriginPermits.permitsPerWindow(part, 5_000_000);
         long[] taken = new long[10_000];
         int count = 0;
-        Ceiling ceiling = new Ceiling(5_000_000, 0);
+        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5_000_000, 0);
         for (long now = 20_000_000; now < 50_000_000; now += 7_000) {
             if (now == 20_000_000 + 7_000 * 2_000) {
                 now += 800_000; // killed, and back, and it has forgotten all
-                ceiling = new Ceiling(5_000_000, now);
+                ceiling = new SlidingWindowLimiter(5_000_000, now);
             }
             boolean pause = now > 26_000_000 && now < 31_000_000; // then all at once, just before the end of that life
-            if (!pause && ceiling.take(now, rights, false)) {
+            if (!pause && ceiling.tryAcquire(now, rights, false)) {
                 taken[count++] = now;
             }
         }
@@ -135,31 +136,31 @@
 
     @Test
     void whoIsRefusedIsToldWhenThereIsRoom() {
-        Ceiling ceiling = new Ceiling(5_000_000, 0);
+        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5_000_000, 0);
         long now = 100_000_000;
         long last = now;
-        double rights = OriginRights.whole(10, 5_000_000);
+        double rights = OriginPermits.permitsPerWindow(10, 5_000_000);
         for (; now < 104_000_000; now += 1_000) {
-            last = ceiling.take(now, rights, false) ? now : last;
+            last = ceiling.tryAcquire(now, rights, false) ? now : last;
         }
-        long in = ceiling.roomIn(now, rights);
+        long in = ceiling.microsUntilAvailable(now, rights);
         assertThat(in).isBetween(1_000_000L, 2_000_000L);
-        assertThat(ceiling.take(now + in - 600_000, rights, false)).isFalse();
-        assertThat(ceiling.take(now + in, rights, false)).isTrue();
+        assertThat(ceiling.tryAcquire(now + in - 600_000, rights, false)).isFalse();
+        assertThat(ceiling.tryAcquire(now + in, rights, false)).isTrue();
     }
 
     @Test
     void patienceFollowsWhatAnswersTake() {
-        Patience patience = new Patience();
+        ResponseTimeoutEstimator patience = new ResponseTimeoutEstimator();
         for (int i = 0; i < 100; i++) {
-            patience.answered(5_000);
+            patience.recordResponse(5_000);
         }
-        assertThat(patience.micros(0)).isEqualTo(Patience.LEAST_MICROS);
+        assertThat(patience.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MIN_MICROS);
         for (int i = 0; i < 100; i++) {
-            patience.answered(i % 2 == 0 ? 20_000 : 200_000);
+            patience.recordResponse(i % 2 == 0 ? 20_000 : 200_000);
         }
-        assertThat(patience.micros(0)).isEqualTo(Patience.MOST_MICROS);
-        assertThat(new Patience().micros(600_000))
+        assertThat(patience.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MAX_MICROS);
+        assertThat(new ResponseTimeoutEstimator().timeoutMicros(600_000))
                 .as("a home that fetches is waited for while that is of use")
                 .isEqualTo(720_000);
     }
@@ -174,9 +175,9 @@
         for (int k = 0; k < 400; k++) {
             java.util.Set<String> told = new java.util.HashSet<>();
             for (String edge : edges.keySet()) {
-                Homes mine = new Homes(edge, edges.get(edge));
-                mine.edges(edges);
-                told.add(mine.of(0, "k" + k, false, "objects", 10));
+                HomeSelector mine = new HomeSelector(edge, edges.get(edge));
+                mine.updateEdges(edges);
+                told.add(mine.homeOf(0, "k" + k, false, "objects", 10));
             }
             assertThat(told).as("all agree on k" + k).hasSize(1);
             homes.addAll(told);
@@ -184,9 +185,9 @@
         assertThat(homes).hasSize(10);
         long fetching = edges.keySet().stream()
                 .filter(edge -> {
-                    Homes mine = new Homes(edge, "z0");
-                    mine.edges(edges);
-                    return mine.fetches("objects", 10);
+                    HomeSelector mine = new HomeSelector(edge, "z0");
+                    mine.updateEdges(edges);
+                    return mine.isFetcher("objects", 10);
                 })
                 .count();
         assertThat(fetching).isEqualTo(10);
--- a/src/test/java/gorsemast/cache/FetchInvariantsTest.java
+++ b/src/test/java/gorsemast/cache/FetchInvariantsTest.java
@@ -20,18 +20,18 @@
             1_500_000,
             200_000,
             1,
-            List.of(new Route.Weighted("s", 1)),
+            List.of(new Route.WeightedService("s", 1)),
             2,
             10_000_000);
-    private static final WantedObject WANTED = new WantedObject(ROUTE, "h", "/o/1");
+    private static final ObjectRequest WANTED = new ObjectRequest(ROUTE, "h", "/o/1");
 
-    private final List<ServerAnswer<String>> fetched = new ArrayList<>();
+    private final List<ServerResponseListener<String>> fetched = new ArrayList<>();
     private long now = 100_000_000;
-    private final Fetching<String> fetching = new Fetching<>(
+    private final FetchCoordinator<String> fetching = new FetchCoordinator<>(
             "e",
             () -> now,
-            new CopyCache(1 << 20),
-            new Homes("e", "z"),
+            new ResponseCache(1 << 20),
+            new HomeSelector("e", "z"),
             new GossipState(),
             5_000_000,
             Double.POSITIVE_INFINITY,
@@ -45,34 +45,34 @@
     }
 
     private void ask() {
-        fetching.ask(WANTED, Fetching.ASKED_BY_CLIENT, now + 1_000_000, new ObjectWaiter<>() {
+        fetching.request(WANTED, FetchCoordinator.HOP_CLIENT, now + 1_000_000, new ObjectWaiter<>() {
             @Override
-            public void here(Copy copy, boolean once) {
+            public void onResponse(CachedResponse copy, boolean once) {
                 told++;
             }
 
             @Override
-            public void other(String answer) {
+            public void onUncacheable(String answer) {
                 told++;
             }
 
             @Override
-            public void refused(long retryAfterMicros) {
+            public void onRefused(long retryAfterMicros) {
                 told++;
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 told++;
             }
 
             @Override
-            public void tooLong() {
+            public void onTooLong() {
                 told++;
             }
 
             @Override
-            public void inHand() {
+            public void onStillFetching() {
                 told++;
             }
         });
@@ -80,16 +80,16 @@
 
     private long violations(FetchInvariants.Violation what) {
         fetching.checkInvariants();
-        return fetching.invariants().of(what);
+        return fetching.invariants().count(what);
     }
 
     @Test
     void aSecondAnswerIsDroppedAndCounted() {
         ask();
-        Copy copy = new Copy(200, List.of(), new byte[1], Set.of(), now, 10_000_000);
+        CachedResponse copy = new CachedResponse(200, List.of(), new byte[1], Set.of(), now, 10_000_000);
         fetched.get(0).copy(copy);
         assertThat(fetching.invariants().total()).isZero();
-        fetched.get(0).failed();
+        fetched.get(0).onFailed();
         assertThat(told).isEqualTo(1);
         assertThat(violations(FetchInvariants.Violation.ENDED_TWICE)).isEqualTo(1);
         assertThat(fetching.invariants().describe()).isEqualTo("ended twice 1");
@@ -112,33 +112,34 @@
 
     @Test
     void aRightThatIsNotSettledIsFound() {
-        fetching.rights().take("s", false);
+        fetching.permits().tryAcquire("s", false);
         assertThat(violations(FetchInvariants.Violation.RIGHT_UNSETTLED)).isEqualTo(1);
     }
 
     @Override
-    public void home(HomeQuestion question, HomeAnswer<String> ending) {
+    public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
         throw new IllegalStateException("the only edge");
     }
 
     @Override
-    public boolean servers(String service, WantedObject what, long asked, long giveUp, ServerAnswer<String> ending) {
+    public boolean requestFromServers(
+            String service, ObjectRequest what, long asked, long giveUp, ServerResponseListener<String> ending) {
         fetched.add(ending);
         return true;
     }
 
     @Override
-    public double perSecond(String service) {
+    public double serverRatePerSecond(String service) {
         return 100;
     }
 
     @Override
-    public void later(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         // nothing waits here
     }
 
     @Override
-    public int fetchers(String service) {
+    public int fetcherCount(String service) {
         return Integer.MAX_VALUE;
     }
 }
--- a/src/test/java/gorsemast/cache/FetchingTest.java
+++ b/src/test/java/gorsemast/cache/FetchingTest.java
@@ -4,7 +4,7 @@
 
 import gorsemast.configuration.Route;
 import gorsemast.gossip.GossipState;
-import gorsemast.gossip.PurgeNews;
+import gorsemast.gossip.PurgeRequest;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Deque;
@@ -19,23 +19,32 @@
 class FetchingTest implements ObjectSources<String> {
     private static final long TTL = 10_000_000;
     private static final Route ROUTE = new Route(
-            "r", "h", "/o/", Route.Kind.CACHEABLE, 1_500_000, 200_000, 1, List.of(new Route.Weighted("s", 1)), 2, TTL);
+            "r",
+            "h",
+            "/o/",
+            Route.Kind.CACHEABLE,
+            1_500_000,
+            200_000,
+            1,
+            List.of(new Route.WeightedService("s", 1)),
+            2,
+            TTL);
 
     private record Later(long at, Runnable task) {}
 
-    private record Asked(String edge, int hop, long step, HomeAnswer<String> ending) {}
+    private record Asked(String edge, int hop, long step, HomeResponseListener<String> ending) {}
 
     private final GossipState board = new GossipState();
-    private final CopyCache shelf = new CopyCache(1 << 20);
-    private final Homes homes = new Homes("e0", "z");
+    private final ResponseCache shelf = new ResponseCache(1 << 20);
+    private final HomeSelector homes = new HomeSelector("e0", "z");
     private final Deque<Asked> asked = new ArrayDeque<>();
-    private final Deque<ServerAnswer<String>> fetched = new ArrayDeque<>();
+    private final Deque<ServerResponseListener<String>> fetched = new ArrayDeque<>();
     private final List<Later> later = new ArrayList<>();
     private final List<String> told = new ArrayList<>();
     private long now = 100_000_000;
     private int fetchers = Integer.MAX_VALUE;
     private double perSecond = Double.POSITIVE_INFINITY;
-    private Fetching<String> fetching;
+    private FetchCoordinator<String> fetching;
 
     @BeforeEach
     void edges() {
@@ -43,49 +52,50 @@
         for (int i = 0; i < 8; i++) {
             all.put("e" + i, "z");
         }
-        homes.edges(all);
-        fetching = new Fetching<>("e0", () -> now, shelf, homes, board, 5_000_000, Double.POSITIVE_INFINITY, 1, this);
+        homes.updateEdges(all);
+        fetching = new FetchCoordinator<>(
+                "e0", () -> now, shelf, homes, board, 5_000_000, Double.POSITIVE_INFINITY, 1, this);
     }
 
     /** An object whose home is this edge, or another one; and whether this edge is to fetch for others. */
-    private WantedObject wanted(boolean here) {
+    private ObjectRequest wanted(boolean here) {
         for (int i = 0; ; i++) {
-            WantedObject what = new WantedObject(ROUTE, "h", "/o/" + i);
-            if (homes.of(now, what.key(), false).equals("e0") == here) {
+            ObjectRequest what = new ObjectRequest(ROUTE, "h", "/o/" + i);
+            if (homes.homeOf(now, what.key(), false).equals("e0") == here) {
                 return what;
             }
         }
     }
 
-    private void ask(WantedObject what, int hop) {
-        fetching.ask(what, hop, now + 1_000_000, new ObjectWaiter<>() {
+    private void ask(ObjectRequest what, int hop) {
+        fetching.request(what, hop, now + 1_000_000, new ObjectWaiter<>() {
             @Override
-            public void here(Copy copy, boolean once) {
+            public void onResponse(CachedResponse copy, boolean once) {
                 told.add(once ? "once" : "here");
             }
 
             @Override
-            public void other(String answer) {
+            public void onUncacheable(String answer) {
                 told.add(answer);
             }
 
             @Override
-            public void refused(long retryAfterMicros) {
+            public void onRefused(long retryAfterMicros) {
                 told.add("refused " + retryAfterMicros / 1_000_000);
             }
 
             @Override
-            public void failed() {
+            public void onFailed() {
                 told.add("failed");
             }
 
             @Override
-            public void tooLong() {
+            public void onTooLong() {
                 told.add("long");
             }
 
             @Override
-            public void inHand() {
+            public void onStillFetching() {
                 told.add("in hand");
             }
         });
@@ -99,37 +109,37 @@
         due.forEach(one -> one.task.run());
     }
 
-    private Copy copy() {
-        return new Copy(200, List.of(), new byte[10], Set.of("red"), now, TTL);
+    private CachedResponse copy() {
+        return new CachedResponse(200, List.of(), new byte[10], Set.of("red"), now, TTL);
     }
 
     @Test
     void allWhoAskMeanwhileHaveOneFetch() {
-        WantedObject what = wanted(true);
-        ask(what, Fetching.ASKED_BY_CLIENT);
-        ask(what, Fetching.ASKED_AS_HOME);
+        ObjectRequest what = wanted(true);
+        ask(what, FetchCoordinator.HOP_CLIENT);
+        ask(what, FetchCoordinator.HOP_HOME);
         assertThat(fetched).hasSize(1);
         fetched.poll().copy(copy());
         assertThat(told).containsExactly("here", "here");
-        assertThat(fetching.held(what)).isNotNull();
+        assertThat(fetching.lookUp(what)).isNotNull();
     }
 
     @Test
     void whatWasAskedForBeforeAPurgeIsNotHeldAfterIt() {
-        WantedObject what = wanted(true);
-        ask(what, Fetching.ASKED_BY_CLIENT);
-        fetching.purged(new PurgeNews("p", "", "", "red").item(now));
+        ObjectRequest what = wanted(true);
+        ask(what, FetchCoordinator.HOP_CLIENT);
+        fetching.applyPurge(new PurgeRequest("p", "", "", "red").toEntry(now));
         fetched.poll().copy(copy());
         assertThat(told).containsExactly("once");
-        assertThat(fetching.held(what)).isNull();
+        assertThat(fetching.lookUp(what)).isNull();
     }
 
     @Test
     void whoAsksAfterAPurgeByPathGetsAnotherFetch() {
-        WantedObject what = wanted(true);
-        ask(what, Fetching.ASKED_BY_CLIENT);
-        fetching.purged(new PurgeNews("p", "h", what.uri(), "").item(now));
-        ask(what, Fetching.ASKED_BY_CLIENT);
+        ObjectRequest what = wanted(true);
+        ask(what, FetchCoordinator.HOP_CLIENT);
+        fetching.applyPurge(new PurgeRequest("p", "h", what.uri(), "").toEntry(now));
+        ask(what, FetchCoordinator.HOP_CLIENT);
         assertThat(fetched).hasSize(2);
         fetched.pollLast().copy(copy());
         assertThat(told).containsExactly("here");
@@ -139,31 +149,31 @@
 
     @Test
     void aHomeIsAskedWithWhatIsKnownOfPurgesAndPassedOverWhenSilent() {
-        WantedObject what = wanted(false);
-        board.merge(now, new PurgeNews("p", "h", "/other", "").item(now));
-        ask(what, Fetching.ASKED_BY_CLIENT);
+        ObjectRequest what = wanted(false);
+        board.merge(now, new PurgeRequest("p", "h", "/other", "").toEntry(now));
+        ask(what, FetchCoordinator.HOP_CLIENT);
         Asked first = asked.poll();
-        assertThat(first.hop).isEqualTo(Fetching.ASKED_AS_HOME);
+        assertThat(first.hop).isEqualTo(FetchCoordinator.HOP_HOME);
         assertThat(first.step).isEqualTo(board.purgeDigest()).isNotZero();
-        first.ending.silent(false);
+        first.ending.onSilent(false);
         Asked second = asked.poll();
         assertThat(second.hop)
                 .as("as all edges do that have passed the first over, so that they find one copy")
-                .isEqualTo(Fetching.ASKED_AS_HOME);
+                .isEqualTo(FetchCoordinator.HOP_HOME);
         assertThat(second.edge).isNotEqualTo(first.edge);
         second.ending.copy(copy());
         assertThat(told).containsExactly("here");
-        assertThat(homes.of(now, what.key(), false)).isEqualTo(second.edge);
+        assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(second.edge);
     }
 
     @Test
     void aHomeThatIsStillFetchingIsAskedAgainAndNotPassedOver() {
-        WantedObject what = wanted(false);
-        ask(what, Fetching.ASKED_BY_CLIENT);
+        ObjectRequest what = wanted(false);
+        ask(what, FetchCoordinator.HOP_CLIENT);
         Asked first = asked.poll();
         for (int i = 0; i < 5; i++) {
             now += 100_000;
-            first.ending.inHand();
+            first.ending.onStillFetching();
             assertThat(asked).hasSize(1);
             Asked again = asked.poll();
             assertThat(again.edge).isEqualTo(first.edge);
@@ -171,25 +181,25 @@
         }
         first.ending.copy(copy());
         assertThat(told).containsExactly("here");
-        assertThat(homes.of(now, what.key(), false)).isEqualTo(first.edge);
+        assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(first.edge);
     }
 
     @Test
     void whoHasNoTimeToAskAgainIsToldToComeBack() {
-        ask(wanted(false), Fetching.ASKED_BY_CLIENT);
+        ask(wanted(false), FetchCoordinator.HOP_CLIENT);
         now += 980_000;
-        asked.poll().ending.inHand();
+        asked.poll().ending.onStillFetching();
         assertThat(asked).isEmpty();
         assertThat(told).containsExactly("refused 0");
     }
 
     @Test
     void whoAsksAHomeIsAnsweredWithinItsTimeThoughTheFetchGoesOn() {
-        WantedObject what = wanted(true);
-        ask(what, Fetching.ASKED_AS_HOME);
+        ObjectRequest what = wanted(true);
+        ask(what, FetchCoordinator.HOP_HOME);
         pass(900_000);
         assertThat(told).containsExactly("in hand");
-        ask(what, Fetching.ASKED_AS_HOME);
+        ask(what, FetchCoordinator.HOP_HOME);
         assertThat(fetched).as("it joins the same fetch").hasSize(1);
         fetched.poll().copy(copy());
         assertThat(told).containsExactly("in hand", "here");
@@ -202,46 +212,46 @@
         perSecond = 3.4; // 16 in a window: two for each of eight edges, one of them within half a second
         now += 10_000_000;
         for (int i = 0; i < 20; i++) {
-            ask(new WantedObject(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_FETCHER);
+            ask(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_FETCHER);
             assertThat(fetched).as("the right of the last one is free").hasSize(1);
-            fetched.poll().notSent(1);
+            fetched.poll().onNotSent(1);
         }
-        ask(new WantedObject(ROUTE, "h", "/o/sent"), Fetching.ASKED_AS_FETCHER);
-        fetched.poll().refused(1);
-        ask(new WantedObject(ROUTE, "h", "/o/after"), Fetching.ASKED_AS_FETCHER);
+        ask(new ObjectRequest(ROUTE, "h", "/o/sent"), FetchCoordinator.HOP_FETCHER);
+        fetched.poll().onRefused(1);
+        ask(new ObjectRequest(ROUTE, "h", "/o/after"), FetchCoordinator.HOP_FETCHER);
         assertThat(fetched).as("a server may have got that one").isEmpty();
     }
 
     @Test
     void whereFewFetchAHomeAsksOneOfThem() {
         fetchers = 2;
-        assertThat(homes.fetches("s", 2))
+        assertThat(homes.isFetcher("s", 2))
                 .as("what follows is about an edge that does not")
                 .isFalse();
-        ask(wanted(true), Fetching.ASKED_AS_HOME);
+        ask(wanted(true), FetchCoordinator.HOP_HOME);
         Asked one = asked.poll();
-        assertThat(one.hop).isEqualTo(Fetching.ASKED_AS_FETCHER);
-        one.ending.useless();
+        assertThat(one.hop).isEqualTo(FetchCoordinator.HOP_FETCHER);
+        one.ending.onUnusable();
         Asked other = asked.poll();
         assertThat(other.hop)
                 .as("not the servers, of which it has hardly a part")
-                .isEqualTo(Fetching.ASKED_AS_FETCHER);
+                .isEqualTo(FetchCoordinator.HOP_FETCHER);
         other.ending.copy(copy());
         assertThat(told).containsExactly("here");
-        ask(wanted(false), Fetching.ASKED_AS_FETCHER);
+        ask(wanted(false), FetchCoordinator.HOP_FETCHER);
         assertThat(fetched).as("who is asked to fetch does").hasSize(1);
     }
 
     @Test
     void whoWaitsForAHomeDoesNotMakeTheHomeWait() {
-        WantedObject what = wanted(false);
-        ask(what, Fetching.ASKED_BY_CLIENT);
+        ObjectRequest what = wanted(false);
+        ask(what, FetchCoordinator.HOP_CLIENT);
         assertThat(asked).hasSize(1);
-        ask(what, Fetching.ASKED_AS_FETCHER);
+        ask(what, FetchCoordinator.HOP_FETCHER);
         assertThat(fetched)
                 .as("the home asks back, and is not to wait for itself")
                 .hasSize(1);
-        ask(what, Fetching.ASKED_BY_CLIENT);
+        ask(what, FetchCoordinator.HOP_CLIENT);
         fetched.poll().copy(copy());
         assertThat(told).containsExactly("here", "here");
     }
@@ -251,13 +261,13 @@
         perSecond = 80; // ten a second for each of eight edges: 47 in a window, seven in half a second
         now += 10_000_000; // longer than a window after the start
         for (int i = 0; fetched.size() < 7; i++) {
-            ask(new WantedObject(ROUTE, "h", "/o/" + i), Fetching.ASKED_AS_HOME);
+            ask(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_HOME);
         }
-        ask(new WantedObject(ROUTE, "h", "/o/more"), Fetching.ASKED_AS_HOME);
+        ask(new ObjectRequest(ROUTE, "h", "/o/more"), FetchCoordinator.HOP_HOME);
         assertThat(told).as("half a second is more than a part of its aim").containsExactly("refused 0");
         pass(480_000);
         told.clear();
-        ask(new WantedObject(ROUTE, "h", "/o/waits"), Fetching.ASKED_AS_HOME);
+        ask(new ObjectRequest(ROUTE, "h", "/o/waits"), FetchCoordinator.HOP_HOME);
         assertThat(told).as("20 ms are not").isEmpty();
         assertThat(fetched).hasSize(7);
         pass(20_000);
@@ -265,28 +275,29 @@
     }
 
     @Override
-    public void home(HomeQuestion question, HomeAnswer<String> ending) {
-        asked.add(new Asked(question.edge(), question.hop(), question.step(), ending));
+    public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
+        asked.add(new Asked(question.edge(), question.hop(), question.purgeDigest(), ending));
     }
 
     @Override
-    public boolean servers(String service, WantedObject what, long at, long giveUp, ServerAnswer<String> ending) {
+    public boolean requestFromServers(
+            String service, ObjectRequest what, long at, long giveUp, ServerResponseListener<String> ending) {
         fetched.add(ending);
         return true;
     }
 
     @Override
-    public double perSecond(String service) {
+    public double serverRatePerSecond(String service) {
         return perSecond;
     }
 
     @Override
-    public void later(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         later.add(new Later(now + micros, task));
     }
 
     @Override
-    public int fetchers(String service) {
+    public int fetcherCount(String service) {
         return fetchers;
     }
 }
--- a/src/test/java/gorsemast/cache/ObjectFleet.java
+++ b/src/test/java/gorsemast/cache/ObjectFleet.java
@@ -1,7 +1,7 @@
 package gorsemast.cache;
 
 import gorsemast.configuration.Route;
-import gorsemast.dispatch.Crowd;
+import gorsemast.dispatch.EdgeSharing;
 import gorsemast.gossip.GossipState;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Many edges in virtual time, each with its own {@link Fetching}, before two object servers that bear only so many requests a
+ * Many edges in virtual time, each with its own {@link FetchCoordinator}, before two object servers that bear only so many requests a
  * second. Clients ask for objects by a Zipf distribution and come back once when they are refused. Links out of an edge have a
  * bandwidth, so that large objects hold up what is sent behind them.
  *
@@ -113,7 +113,7 @@
         }
     }
 
-    private record Ask(WantedObject what, long begun, boolean again) {}
+    private record Ask(ObjectRequest what, long begun, boolean again) {}
 
     private final Setup setup;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
@@ -151,7 +151,7 @@
     }
 
     private static Route route(String name, long aim, long timeout, long ttl) {
-        List<Route.Weighted> to = List.of(new Route.Weighted("s", 1));
+        List<Route.WeightedService> to = List.of(new Route.WeightedService("s", 1));
         return new Route(name, "h", "/" + name + "/", Route.Kind.CACHEABLE, timeout, aim, 1, to, 2, ttl);
     }
 
@@ -186,14 +186,14 @@
         }
         List<String> back = ended.stream().map(edge -> edge.name).toList();
         ended.clear();
-        edges.forEach(edge -> edge.homes.edges(left));
+        edges.forEach(edge -> edge.homes.updateEdges(left));
         after(DOWN, () -> {
             back.forEach(name -> {
                 Edge edge = new Edge(name, names.get(name), names);
                 edges.add(edge);
                 byName.put(name, edge);
             });
-            edges.forEach(edge -> edge.homes.edges(names));
+            edges.forEach(edge -> edge.homes.updateEdges(names));
         });
     }
 
@@ -201,16 +201,16 @@
     static Result ideal(Setup setup) {
         ObjectFleet fleet = new ObjectFleet(setup);
         Map<String, Long> held = new HashMap<>();
-        Ceiling ceiling = new Ceiling(5 * SECOND, 0);
+        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5 * SECOND, 0);
         fleet.clients(ask -> fleet.askIdeal(ask, held, ceiling));
         fleet.run();
         return fleet.result();
     }
 
-    private void askIdeal(Ask ask, Map<String, Long> held, Ceiling ceiling) {
+    private void askIdeal(Ask ask, Map<String, Long> held, SlidingWindowLimiter ceiling) {
         Long since = held.get(ask.what.key());
         boolean fresh = since != null && now - since < ask.what.route().ttlMicros();
-        if (!fresh && ceiling.take(now, OriginRights.whole(setup.perSecond(), 5 * SECOND), false)) {
+        if (!fresh && ceiling.tryAcquire(now, OriginPermits.permitsPerWindow(setup.perSecond(), 5 * SECOND), false)) {
             held.put(ask.what.key(), now);
             arrivals.add(now);
             fresh = true;
@@ -274,7 +274,7 @@
         long at = 0;
         while (at < setup.seconds() * SECOND) {
             at += (long) (-Math.log(1 - draws.nextDouble()) / setup.requests() * SECOND);
-            WantedObject what = object(draws.nextDouble());
+            ObjectRequest what = object(draws.nextDouble());
             long begun = START + at;
             after(at, () -> {
                 asked++;
@@ -283,7 +283,7 @@
         }
     }
 
-    private WantedObject object(double draw) {
+    private ObjectRequest object(double draw) {
         int low = 0;
         int high = OBJECTS - 1;
         while (low < high) {
@@ -295,7 +295,7 @@
             }
         }
         Route route = low < SMALL ? NOTICES : TABLES;
-        return new WantedObject(route, "h", route.prefix() + low);
+        return new ObjectRequest(route, "h", route.prefix() + low);
     }
 
     private void client(Ask ask) {
@@ -307,14 +307,14 @@
         long left = ask.begun + route.timeoutMicros() - now;
         if (success && left > 0) {
             served++;
-            inAim += now - ask.begun <= route.aimMicros() ? 1 : 0;
+            inAim += now - ask.begun <= route.targetLatencyMicros() ? 1 : 0;
         } else if (!success && !ask.again && left > 0) {
             long waits = Math.min(retryAfter, (long) (HEEDS * left));
             after(waits + 2_000, () -> client(new Ask(ask.what, ask.begun, true)));
         }
     }
 
-    private static int bytes(WantedObject what) {
+    private static int bytes(ObjectRequest what) {
         return what.route() == NOTICES ? 6_000 : 120_000;
     }
 
@@ -322,8 +322,8 @@
 
     private final class Edge implements ObjectSources<String> {
         private final String name;
-        private final Homes homes;
-        private final Fetching<String> fetching;
+        private final HomeSelector homes;
+        private final FetchCoordinator<String> fetching;
         private long linkFreeAt;
         /** Bytes of objects that other edges were handed. */
         private long sentBetween;
@@ -332,12 +332,12 @@
 
         Edge(String name, String zone, Map<String, String> all) {
             this.name = name;
-            this.homes = new Homes(name, zone);
-            homes.edges(all);
-            this.fetching = new Fetching<>(
+            this.homes = new HomeSelector(name, zone);
+            homes.updateEdges(all);
+            this.fetching = new FetchCoordinator<>(
                     name,
                     () -> now,
-                    new CopyCache(9 << 20),
+                    new ResponseCache(9 << 20),
                     homes,
                     new GossipState(),
                     5 * SECOND,
@@ -356,15 +356,15 @@
         }
 
         void client(Ask ask) {
-            WantedObject what = ask.what;
-            if (fetching.held(what) != null) {
+            ObjectRequest what = ask.what;
+            if (fetching.lookUp(what) != null) {
                 sends(bytes(what), () -> over(ask, true, 0));
                 return;
             }
             long giveUp = ask.begun + what.route().timeoutMicros();
-            fetching.ask(what, Fetching.ASKED_BY_CLIENT, giveUp, new Told() {
+            fetching.request(what, FetchCoordinator.HOP_CLIENT, giveUp, new Told() {
                 @Override
-                void end(Copy copy, long retryAfter) {
+                void end(CachedResponse copy, long retryAfter) {
                     if (copy != null) {
                         sends(bytes(what), () -> over(ask, true, 0));
                     } else {
@@ -375,21 +375,21 @@
         }
 
         @Override
-        public void home(HomeQuestion question, HomeAnswer<String> ending) {
+        public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
             boolean[] over = new boolean[1];
             boolean[] comes = new boolean[1];
             Runnable silent = () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ending.silent(false);
+                    ending.onSilent(false);
                 }
             };
-            after(question.patience(), () -> {
+            after(question.responseTimeout(), () -> {
                 if (!comes[0]) {
                     silent.run();
                 }
             });
-            after(question.giveUp() - now, silent);
+            after(question.deadline() - now, silent);
             Edge other = byName.get(question.edge());
             if (other == null) {
                 after(HOP, silent);
@@ -397,41 +397,43 @@
             }
             after(
                     HOP,
-                    () -> other.fetching.ask(question.what(), question.hop(), now + question.patience(), new Told() {
-                        private void answers(int bytes, Runnable ends) {
-                            if (other.ended) {
-                                return;
-                            }
-                            other.sentBetween += bytes;
-                            comes[0] = true; // connections share the link, so that something of each comes soon
-                            other.sends(bytes, () -> {
-                                if (!over[0]) {
-                                    over[0] = true;
-                                    ends.run();
+                    () -> other.fetching.request(
+                            question.object(), question.hop(), now + question.responseTimeout(), new Told() {
+                                private void answers(int bytes, Runnable ends) {
+                                    if (other.ended) {
+                                        return;
+                                    }
+                                    other.sentBetween += bytes;
+                                    comes[0] = true; // connections share the link, so that something of each comes soon
+                                    other.sends(bytes, () -> {
+                                        if (!over[0]) {
+                                            over[0] = true;
+                                            ends.run();
+                                        }
+                                    });
                                 }
-                            });
-                        }
 
-                        @Override
-                        void end(Copy copy, long retryAfter) {
-                            if (copy == null) {
-                                answers(HEAD_BYTES, () -> ending.refused(retryAfter));
-                            } else {
-                                answers(bytes(question.what()), () -> ending.copy(copy));
-                            }
-                        }
+                                @Override
+                                void end(CachedResponse copy, long retryAfter) {
+                                    if (copy == null) {
+                                        answers(HEAD_BYTES, () -> ending.onRefused(retryAfter));
+                                    } else {
+                                        answers(bytes(question.object()), () -> ending.copy(copy));
+                                    }
+                                }
 
-                        @Override
-                        public void inHand() {
-                            answers(HEAD_BYTES, ending::inHand);
-                        }
-                    }));
+                                @Override
+                                public void onStillFetching() {
+                                    answers(HEAD_BYTES, ending::onStillFetching);
+                                }
+                            }));
         }
 
         @Override
-        public boolean servers(String service, WantedObject what, long at, long giveUp, ServerAnswer<String> ending) {
+        public boolean requestFromServers(
+                String service, ObjectRequest what, long at, long giveUp, ServerResponseListener<String> ending) {
             if (random.nextDouble() < setup.unsent()) {
-                ending.notSent(SECOND / 2);
+                ending.onNotSent(SECOND / 2);
                 return true;
             }
             if (ended) {
@@ -443,7 +445,7 @@
             double speed = SPEEDS[random.nextInt(SPEEDS.length)];
             long work = (long) (WORK * speed * Math.exp(0.4 * gaussian()));
             long transfer = (long) (bytes(what) * BITS_PER_BYTE / setup.linkBits() * SECOND);
-            Copy copy = new Copy(
+            CachedResponse copy = new CachedResponse(
                     200,
                     List.of(),
                     new byte[bytes(what)],
@@ -459,53 +461,53 @@
         }
 
         @Override
-        public double perSecond(String service) {
+        public double serverRatePerSecond(String service) {
             return setup.perSecond();
         }
 
         @Override
-        public void later(long micros, Runnable task) {
+        public void schedule(long micros, Runnable task) {
             after(micros, task);
         }
 
         @Override
-        public int fetchers(String service) {
-            return Crowd.homes(homes.count(), SERVER_CONNECTIONS, setup.perSecond());
+        public int fetcherCount(String service) {
+            return EdgeSharing.fetcherCount(homes.edgeCount(), SERVER_CONNECTIONS, setup.perSecond());
         }
     }
 
     /** Told once; a copy, or when to come back. */
     private abstract static class Told implements ObjectWaiter<String> {
         /** @param copy null for none */
-        abstract void end(Copy copy, long retryAfter);
+        abstract void end(CachedResponse copy, long retryAfter);
 
         @Override
-        public void here(Copy copy, boolean once) {
+        public void onResponse(CachedResponse copy, boolean once) {
             end(copy, 0);
         }
 
         @Override
-        public void other(String answer) {
+        public void onUncacheable(String answer) {
             end(null, SECOND / 2);
         }
 
         @Override
-        public void refused(long retryAfterMicros) {
+        public void onRefused(long retryAfterMicros) {
             end(null, retryAfterMicros);
         }
 
         @Override
-        public void failed() {
+        public void onFailed() {
             end(null, SECOND / 2);
         }
 
         @Override
-        public void tooLong() {
+        public void onTooLong() {
             end(null, SECOND / 2);
         }
 
         @Override
-        public void inHand() {
+        public void onStillFetching() {
             throw new IllegalStateException("only edges are told so");
         }
     }
--- a/src/test/java/gorsemast/cache/OriginRightsTest.java
+++ b/src/test/java/gorsemast/cache/OriginRightsTest.java
@@ -19,11 +19,11 @@
         }
         long sum = 0;
         for (Map.Entry<String, String> edge : all.entrySet()) {
-            Homes homes = new Homes(edge.getKey(), edge.getValue());
-            homes.edges(all);
-            OriginRights rights =
-                    new OriginRights(() -> 100_000_000L, homes, WINDOW, service -> perSecond, service -> fetchers);
-            sum += rights.part("objects");
+            HomeSelector homes = new HomeSelector(edge.getKey(), edge.getValue());
+            homes.updateEdges(all);
+            OriginPermits rights =
+                    new OriginPermits(() -> 100_000_000L, homes, WINDOW, service -> perSecond, service -> fetchers);
+            sum += rights.permitShare("objects");
         }
         return sum;
     }
@@ -42,7 +42,7 @@
         "7, 7, 0.1"
     })
     void thePartsOfAllEdgesAreWhatServersBear(int edges, int fetchers, double perSecond) {
-        long whole = Math.max(1, (long) OriginRights.whole(perSecond, WINDOW));
+        long whole = Math.max(1, (long) OriginPermits.permitsPerWindow(perSecond, WINDOW));
         assertThat(sum(edges, fetchers, perSecond)).isEqualTo(whole);
     }
 
@@ -53,59 +53,63 @@
             all.put("10.0.0." + i, "z");
         }
         for (String edge : all.keySet()) {
-            Homes homes = new Homes(edge, "z");
-            homes.edges(all);
-            OriginRights rights = new OriginRights(() -> 100_000_000L, homes, WINDOW, service -> 15.7, service -> 15);
-            boolean fetches = homes.fetches("objects", 15);
-            assertThat(rights.part("objects")).isBetween(fetches ? 4L : 0L, fetches ? 5L : 1L);
+            HomeSelector homes = new HomeSelector(edge, "z");
+            homes.updateEdges(all);
+            OriginPermits rights = new OriginPermits(() -> 100_000_000L, homes, WINDOW, service -> 15.7, service -> 15);
+            boolean fetches = homes.isFetcher("objects", 15);
+            assertThat(rights.permitShare("objects")).isBetween(fetches ? 4L : 0L, fetches ? 5L : 1L);
         }
     }
 
     @Test
     void aPartShrinksAtOnceAndGrowsToWhatItWasEntitledToAllTheWhile() {
-        GrowingPart part = new GrowingPart(WINDOW);
-        assertThat(part.of(0, 10)).isEqualTo(10);
-        assertThat(part.of(1, 4)).isEqualTo(4);
-        assertThat(part.of(2, 10)).isEqualTo(4);
-        assertThat(part.of(WINDOW / 2, 6)).isEqualTo(4);
-        assertThat(part.of(WINDOW, 9)).isEqualTo(4);
-        assertThat(part.of(WINDOW + 2, 9)).isEqualTo(6);
-        assertThat(part.of(WINDOW + 3, 9)).isEqualTo(6);
-        assertThat(part.of(WINDOW + 4, 6)).as("it has not held").isEqualTo(6);
-        assertThat(part.of(2 * WINDOW + 4, 9)).isEqualTo(6);
-        assertThat(part.of(3 * WINDOW + 4, 9)).isEqualTo(9);
+        SlowGrowingShare part = new SlowGrowingShare(WINDOW);
+        assertThat(part.update(0, 10)).isEqualTo(10);
+        assertThat(part.update(1, 4)).isEqualTo(4);
+        assertThat(part.update(2, 10)).isEqualTo(4);
+        assertThat(part.update(WINDOW / 2, 6)).isEqualTo(4);
+        assertThat(part.update(WINDOW, 9)).isEqualTo(4);
+        assertThat(part.update(WINDOW + 2, 9)).isEqualTo(6);
+        assertThat(part.update(WINDOW + 3, 9)).isEqualTo(6);
+        assertThat(part.update(WINDOW + 4, 6)).as("it has not held").isEqualTo(6);
+        assertThat(part.update(2 * WINDOW + 4, 9)).isEqualTo(6);
+        assertThat(part.update(3 * WINDOW + 4, 9)).isEqualTo(9);
     }
 
     @Test
     void whatIsGivenBackCanBeTakenAgainOnce() {
         long[] now = {100_000_000};
-        OriginRights rights = one(now);
+        OriginPermits rights = one(now);
         now[0] += 2 * WINDOW;
-        OriginRights.Right first = rights.take("objects", false);
+        OriginPermits.Permit first = rights.tryAcquire("objects", false);
         assertThat(first).isNotNull();
-        assertThat(rights.take("objects", false)).as("one in half a second").isNull();
-        first.giveBack();
-        first.giveBack();
-        assertThat(rights.take("objects", false)).isNotNull();
-        assertThat(rights.take("objects", false)).isNull();
+        assertThat(rights.tryAcquire("objects", false))
+                .as("one in half a second")
+                .isNull();
+        first.release();
+        first.release();
+        assertThat(rights.tryAcquire("objects", false)).isNotNull();
+        assertThat(rights.tryAcquire("objects", false)).isNull();
     }
 
     @Test
     void whatIsGivenBackLongAfterwardsMakesNoRoom() {
         long[] now = {100_000_000};
-        OriginRights rights = one(now);
+        OriginPermits rights = one(now);
         now[0] += 2 * WINDOW;
-        OriginRights.Right first = rights.take("objects", false);
+        OriginPermits.Permit first = rights.tryAcquire("objects", false);
         now[0] += 11 * WINDOW / 10; // the step that has its place in the ring now
-        assertThat(rights.take("objects", false)).isNotNull();
-        first.giveBack();
+        assertThat(rights.tryAcquire("objects", false)).isNotNull();
+        first.release();
         now[0] += WINDOW / 10;
-        assertThat(rights.take("objects", false)).isNotNull();
+        assertThat(rights.tryAcquire("objects", false)).isNotNull();
         now[0] += WINDOW / 10;
-        assertThat(rights.take("objects", false)).as("two in a window are all").isNull();
+        assertThat(rights.tryAcquire("objects", false))
+                .as("two in a window are all")
+                .isNull();
     }
 
-    private static OriginRights one(long[] now) {
-        return new OriginRights(() -> now[0], new Homes("e", "z"), WINDOW, service -> 0.5, service -> 1);
+    private static OriginPermits one(long[] now) {
+        return new OriginPermits(() -> now[0], new HomeSelector("e", "z"), WINDOW, service -> 0.5, service -> 1);
     }
 }
--- a/src/test/java/gorsemast/dispatch/CallStateTest.java
+++ b/src/test/java/gorsemast/dispatch/CallStateTest.java
@@ -44,12 +44,12 @@
 
             @Override
             public boolean mayRefuse() {
-                return defect == Defect.REFUSES_WHILE_OUT && isOut() || super.mayRefuse();
+                return defect == Defect.REFUSES_WHILE_OUT && isInFlight() || super.mayRefuse();
             }
 
             @Override
-            public boolean mayPass(int status) {
-                return defect == Defect.PASSES_PROMISES || super.mayPass(status);
+            public boolean mayForward(int status) {
+                return defect == Defect.PASSES_PROMISES || super.mayForward(status);
             }
         };
     }
@@ -70,8 +70,8 @@
                 if (!may) {
                     continue;
                 }
-                int attempt = state.next();
-                state.sent(attempt);
+                int attempt = state.nextAttempt();
+                state.attemptSent(attempt);
                 if (!repeatable && state.mayRefuse()) {
                     found.add("REFUSED while out in row " + row);
                 }
@@ -83,15 +83,15 @@
                         case OK, ERROR, TIMEOUT, RESET, CANCELLED -> true;
                         case FULL, CONNECT_FAILED, NOT_SENT, MISS -> false;
                     };
-                    state.ended(attempt, code);
-                    state.ended(attempt, Code.NOT_SENT); // late, and heard no more
+                    state.attemptEnded(attempt, code);
+                    state.attemptEnded(attempt, Code.NOT_SENT); // late, and heard no more
                 }
                 if (ran && !repeatable && state.mayRefuse()) {
                     found.add("REFUSED in row " + row);
                 }
                 for (int status = 200; status < 600; status++) {
                     boolean promise = status == 408 || status == 421 || status == 429 || status == 503;
-                    if (!repeatable && promise && state.mayPass(status)) {
+                    if (!repeatable && promise && state.mayForward(status)) {
                         found.add("REFUSED by " + status);
                     }
                 }
@@ -115,10 +115,10 @@
     @Test
     void whatMayBeRepeatedIsSentAgainAndItsAnswerPassedOn() {
         CallState state = new CallState(true);
-        state.sent(state.next());
+        state.attemptSent(state.nextAttempt());
         assertThat(state.maySend()).isFalse();
-        state.ended(0, Code.RESET);
+        state.attemptEnded(0, Code.RESET);
         assertThat(state.maySend()).isTrue();
-        assertThat(state.mayPass(503)).isTrue();
+        assertThat(state.mayForward(503)).isTrue();
     }
 }
--- a/src/test/java/gorsemast/dispatch/CallerRig.java
+++ b/src/test/java/gorsemast/dispatch/CallerRig.java
@@ -1,7 +1,7 @@
 package gorsemast.dispatch;
 
+import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
-import anisebend.Balancer.Note;
 import gorsemast.http.Upstream;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -37,7 +37,7 @@
     private volatile boolean listed = true;
 
     CallerRig(int connections) {
-        upstream = new Upstream(loop, new Network(), node -> listed, connections, 60_000, 2_000, 1);
+        upstream = new Upstream(loop, new ServerDialect(), node -> listed, connections, 60_000, 2_000, 1);
     }
 
     /** Runs on the event loop, and waits for it. */
@@ -49,13 +49,13 @@
     Upstream.Attempt start(RawServer server, String id, HttpMethod method, String body, long micros) {
         ByteBuf content = Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII);
         FullHttpRequest request = id.startsWith("object")
-                ? new Network.ObjectRead(method, "/" + id, content)
+                ? new ServerDialect.CacheableRequest(method, "/" + id, content)
                 : new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, "/" + id, content);
-        request.headers().set("Host", "h").set(Network.ATTEMPT, id).set("Content-Length", body.length());
+        request.headers().set("Host", "h").set(ServerDialect.ATTEMPT_ID, id).set("Content-Length", body.length());
         boolean once = method.equals(HttpMethod.POST);
-        return upstream.send(new Node("s", server.address()), request, micros, once, new Upstream.Ending() {
+        return upstream.send(new Node("s", server.address()), request, micros, once, new Upstream.AttemptListener() {
             @Override
-            public void ended(Code code, Note note, FullHttpResponse answer) {
+            public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                 String text = answer == null ? null : answer.content().toString(StandardCharsets.US_ASCII);
                 told.add(new Told(id, code, text));
             }
--- a/src/test/java/gorsemast/dispatch/CrowdTest.java
+++ b/src/test/java/gorsemast/dispatch/CrowdTest.java
@@ -20,8 +20,8 @@
 
     @Test
     void whereThereIsEnoughEachGoesToAll() {
-        assertThat(new Crowd(10, 7, 120, 1_000).reach()).isEqualTo(7);
-        assertThat(Crowd.homes(10, 120, 510)).isEqualTo(10);
+        assertThat(new EdgeSharing(10, 7, 120, 1_000).serverCount()).isEqualTo(7);
+        assertThat(EdgeSharing.fetcherCount(10, 120, 510)).isEqualTo(10);
     }
 
     @Test
@@ -29,17 +29,17 @@
         for (int edges : new int[] {10, 85, 200, 500}) {
             for (int servers : new int[] {2, 9, 52}) {
                 for (int most : new int[] {65, 120, 450}) {
-                    Crowd crowd = new Crowd(edges, servers, most, 1_000);
+                    EdgeSharing crowd = new EdgeSharing(edges, servers, most, 1_000);
                     Map<String, Integer> given = new HashMap<>();
                     for (String edge : names("10.1.0.", edges)) {
-                        Crowd.chosen(edge, names("i-", servers), crowd.reach())
-                                .forEach(id -> given.merge(id, crowd.part(), Integer::sum));
+                        EdgeSharing.chosenServers(edge, names("i-", servers), crowd.serverCount())
+                                .forEach(id -> given.merge(id, crowd.connectionShare(), Integer::sum));
                     }
                     double mean = given.values().stream()
                             .mapToInt(Integer::intValue)
                             .average()
                             .orElseThrow();
-                    boolean enough = (double) servers * most >= (double) Crowd.LEAST_SERVERS * edges;
+                    boolean enough = (double) servers * most >= (double) EdgeSharing.MIN_SERVERS * edges;
                     assertThat(mean)
                             .as(edges + " edges, " + servers + " servers of " + most)
                             .isLessThanOrEqualTo(enough ? most : Double.MAX_VALUE);
@@ -50,26 +50,31 @@
 
     @Test
     void fewSocketsOfTheOwnMeanFewServers() {
-        assertThat(new Crowd(65, 34, 450, 5).reach()).isEqualTo(5);
-        assertThat(new Crowd(65, 34, 450, 1).reach()).isEqualTo(Crowd.LEAST_SERVERS);
-        assertThat(new Crowd(1, 1, 1, 1).reach()).isEqualTo(1);
+        assertThat(new EdgeSharing(65, 34, 450, 5).serverCount()).isEqualTo(5);
+        assertThat(new EdgeSharing(65, 34, 450, 1).serverCount()).isEqualTo(EdgeSharing.MIN_SERVERS);
+        assertThat(new EdgeSharing(1, 1, 1, 1).serverCount()).isEqualTo(1);
     }
 
     @Test
     void thoseThatFetchAreFewWhereConnectionsOrRateAre() {
-        assertThat(Crowd.homes(85, 65, 180)).as("every edge for itself").isEqualTo(85);
-        assertThat(Crowd.homes(85, 65, 30)).as("one a second each").isEqualTo(30);
-        assertThat(Crowd.homes(85, 20, 1_000)).as("two to a connection").isEqualTo(40);
-        assertThat(Crowd.homes(1, 1, 1)).isEqualTo(1);
-        assertThat(Crowd.homes(85, Integer.MAX_VALUE, Double.POSITIVE_INFINITY)).isEqualTo(85);
+        assertThat(EdgeSharing.fetcherCount(85, 65, 180))
+                .as("every edge for itself")
+                .isEqualTo(85);
+        assertThat(EdgeSharing.fetcherCount(85, 65, 30)).as("one a second each").isEqualTo(30);
+        assertThat(EdgeSharing.fetcherCount(85, 20, 1_000))
+                .as("two to a connection")
+                .isEqualTo(40);
+        assertThat(EdgeSharing.fetcherCount(1, 1, 1)).isEqualTo(1);
+        assertThat(EdgeSharing.fetcherCount(85, Integer.MAX_VALUE, Double.POSITIVE_INFINITY))
+                .isEqualTo(85);
     }
 
     @Test
     void aServerThatLeavesMovesNothingElse() {
         List<String> servers = names("i-", 40);
-        List<String> before = Crowd.chosen("edge", servers, 8);
+        List<String> before = EdgeSharing.chosenServers("edge", servers, 8);
         servers.remove(before.get(3));
-        List<String> after = Crowd.chosen("edge", servers, 8);
+        List<String> after = EdgeSharing.chosenServers("edge", servers, 8);
         assertThat(after)
                 .containsAll(before.stream().filter(servers::contains).toList())
                 .hasSize(8);
--- a/src/test/java/gorsemast/dispatch/OnceTableTest.java
+++ b/src/test/java/gorsemast/dispatch/OnceTableTest.java
@@ -99,8 +99,8 @@
                 };
         assertThat(told.code()).isEqualTo(code);
         CallState state = new CallState(false);
-        state.sent(state.next());
-        state.ended(0, told.code());
+        state.attemptSent(state.nextAttempt());
+        state.attemptEnded(0, told.code());
         assertThat(state.mayRefuse()).isEqualTo(!mayHaveRun);
         assertThat(state.maySend()).isEqualTo(!mayHaveRun);
     }
--- a/src/test/java/gorsemast/dispatch/SpeedsTest.java
+++ b/src/test/java/gorsemast/dispatch/SpeedsTest.java
@@ -7,11 +7,11 @@
 
 /** What is known of servers' speeds, seen here and told by others. */
 class SpeedsTest {
-    private final Speeds speeds = new Speeds();
+    private final ServerSpeeds speeds = new ServerSpeeds();
 
     private void answers(String server, int times, long micros) {
         for (int i = 0; i < times; i++) {
-            speeds.answered(server, 0, micros);
+            speeds.recordAnswer(server, 0, micros);
         }
     }
 
@@ -21,33 +21,34 @@
             answers("quick", 1, 60_000);
             answers("slow", 1, 180_000);
         }
-        double part = speeds.factor(0, "slow") / speeds.factor(0, "quick");
+        double part = speeds.weightFactor(0, "slow") / speeds.weightFactor(0, "quick");
         assertThat(part).isBetween(0.02, 0.2);
-        assertThat(speeds.changed(0, "slow"))
+        assertThat(speeds.hasChanged(0, "slow"))
                 .as("the module has just been told")
                 .isFalse();
         answers("slow", 30, 60_000);
-        assertThat(speeds.changed(0, "slow")).isTrue();
+        assertThat(speeds.hasChanged(0, "slow")).isTrue();
     }
 
     @Test
     void whatOthersHaveSeenIsTakenInAndForgotten() {
         answers("a", 3, 60_000);
-        speeds.heard(1_000, Map.of("b", new Speeds.Seen(3, 120)));
+        speeds.applyPooled(1_000, Map.of("b", new ServerSpeeds.Observation(3, 120)));
         assertThat(speeds.slowness(2_000, "b")).isGreaterThan(2.5);
-        assertThat(speeds.slowness(2_000 + Speeds.HEARD_MICROS, "b")).isEqualTo(1);
+        assertThat(speeds.slowness(2_000 + ServerSpeeds.POOLED_VALID_MICROS, "b"))
+                .isEqualTo(1);
     }
 
     @Test
     void numbersThatAreNoneAreLetBe() {
-        speeds.heard(1_000, Map.of("a", new Speeds.Seen(Double.NaN, Double.NaN)));
-        assertThat(speeds.factor(2_000, "a")).isEqualTo(1);
+        speeds.applyPooled(1_000, Map.of("a", new ServerSpeeds.Observation(Double.NaN, Double.NaN)));
+        assertThat(speeds.weightFactor(2_000, "a")).isEqualTo(1);
     }
 
     @Test
     void serversThatHaveGoneAreForgotten() {
         answers("a", 3, 60_000);
-        speeds.retain(java.util.List.of("b"));
-        assertThat(speeds.own()).isEmpty();
+        speeds.retainOnly(java.util.List.of("b"));
+        assertThat(speeds.ownObservations()).isEmpty();
     }
 }
--- a/src/test/java/gorsemast/election/LeaseElectionTest.java
+++ b/src/test/java/gorsemast/election/LeaseElectionTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gorsemast.election.LeaseElection.Word;
+import gorsemast.election.LeaseElection.MessageType;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -16,7 +16,7 @@
 
 /** Never two at once, and seconds at most without, over drawn cuts, freezes and restarts in virtual time. */
 class LeaseElectionTest {
-    private record Said(long at, String from, String to, Word word, long term, long stamp) {}
+    private record Said(long at, String from, String to, MessageType word, long term, long stamp) {}
 
     private final Map<String, LeaseElection> duties = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
@@ -41,7 +41,7 @@
 
     private List<String> acting() {
         return names.stream()
-                .filter(name -> awake(name) && duties.get(name).acts(now))
+                .filter(name -> awake(name) && duties.get(name).isActive(now))
                 .toList();
     }
 
@@ -53,7 +53,7 @@
                 way.add(new Said(
                         frozenUntil.get(said.to) + 1_000, said.from, said.to, said.word, said.term, said.stamp));
             } else if (!cuts.contains(said.from + said.to)) {
-                duties.get(said.to).said(now, said.from, said.word, said.term, said.stamp);
+                duties.get(said.to).receive(now, said.from, said.word, said.term, said.stamp);
             }
         }
         for (String name : names) {
--- a/src/test/java/gorsemast/emulator/ClusterTest.java
+++ b/src/test/java/gorsemast/emulator/ClusterTest.java
@@ -57,7 +57,7 @@
                 i++) {
             node.request("k", false, 1_000, () -> {}, new CacheNode.Reply() {
                 @Override
-                public void served(anisebend.Balancer.Note note) {}
+                public void served(anisebend.Balancer.CacheStatus note) {}
 
                 @Override
                 public void error() {}
--- a/src/test/java/gorsemast/http/AnswerModel.java
+++ b/src/test/java/gorsemast/http/AnswerModel.java
@@ -101,8 +101,8 @@
             key.append(connection).append('|');
         }
         for (int i = 0; i < CALLS; i++) {
-            key.append(calls[i].last())
-                    .append(calls[i].isOut())
+            key.append(calls[i].lastAttempt())
+                    .append(calls[i].isInFlight())
                     .append(calls[i].isAnswered())
                     .append(calls[i].mayRefuse())
                     .append(runs[i])
@@ -131,8 +131,8 @@
             for (int k = 0; k < CALLS; k++) {
                 int call = k;
                 String name = named ? "" + call : null;
-                boolean may = calls[k].maySend() && calls[k].last() + 1 < MOST_ATTEMPTS;
-                if (may && on.call < 0 && on.state.mayCarry(name, alone)) {
+                boolean may = calls[k].maySend() && calls[k].lastAttempt() + 1 < MOST_ATTEMPTS;
+                if (may && on.call < 0 && on.state.canCarry(name, alone)) {
                     all.add(new Event("send " + k + at, () -> send(on, call, name)));
                 }
             }
@@ -146,7 +146,7 @@
             Asked last = on.asked.get(on.asked.size() - 1);
             if (!last.whole) {
                 all.add(new Event("last byte" + at, () -> {
-                    on.state.lastByteLeaves();
+                    on.state.lastByteSent();
                     last.whole = true;
                 }));
             }
@@ -209,13 +209,13 @@
         if (on.noise) {
             throw new Broken("MIXED: bytes of before are in the way");
         }
-        calls[call].sent(calls[call].next());
+        calls[call].attemptSent(calls[call].nextAttempt());
         on.state.carry(name, once(call), alone);
         on.call = call;
         Asked one = new Asked(call);
         on.asked.add(one);
         if (!once(call)) {
-            on.state.lastByteLeaves();
+            on.state.lastByteSent();
             one.whole = true;
         }
     }
@@ -223,16 +223,18 @@
     private void answer(Connection on, Asked one, Code code, String told) {
         one.answers++;
         on.reading = true;
-        Whose whose = Whose.BY_PLACE;
+        ResponseMatch whose = ResponseMatch.BY_POSITION;
         if (named) {
-            whose = told == null ? Whose.NOBODY : told.equals("" + on.call) ? Whose.NAMED : Whose.OTHER;
+            whose = told == null
+                    ? ResponseMatch.UNIDENTIFIED
+                    : told.equals("" + on.call) ? ResponseMatch.BY_ID : ResponseMatch.OTHER_REQUEST;
         }
-        ConnectionState.Take take = on.state.head(whose, false, !code.mayHaveRun, code == Code.OK);
-        if (take == ConnectionState.Take.BROKEN) {
+        ConnectionState.Disposition take = on.state.head(whose, false, !code.mayHaveRun, code == Code.OK);
+        if (take == ConnectionState.Disposition.BROKEN) {
             lost(on);
             return;
         }
-        if (on.state.part(true) == ConnectionState.Take.OWN) {
+        if (on.state.part(true) == ConnectionState.Disposition.OWN) {
             on.answer = one;
             on.says = code;
         }
@@ -256,14 +258,14 @@
         Code code = on.says;
         on.answer = null;
         on.says = null;
-        freed(on, on.state.answered(keeps));
+        freed(on, on.state.completed(keeps));
         told(call, code, answer);
     }
 
     private void lost(Connection on) {
         on.reading = false;
         if (on.state.isWhole()) {
-            on.state.closes();
+            on.state.connectionClosed();
             conclude(on, true);
             return;
         }
@@ -283,20 +285,20 @@
 
     /** The referee: the answer is the call's own, and "not run" is true for ever. */
     private void told(int call, Code code, Asked answer) {
-        calls[call].ended(calls[call].last(), code);
+        calls[call].attemptEnded(calls[call].lastAttempt(), code);
         if (answer != null && answer.call != call) {
             throw new Broken("MIXED: call " + call + " has the answer to " + answer.call);
         }
         if (code == Code.OK) {
-            calls[call].answered();
+            calls[call].markAnswered();
         }
         if (once(call) && calls[call].mayRefuse()) {
             if (runs[call] > 0) {
                 throw new Broken("REFUSED");
             }
-            if (calls[call].last() + 1 == MOST_ATTEMPTS) {
+            if (calls[call].lastAttempt() + 1 == MOST_ATTEMPTS) {
                 promised[call] = true; // and whatever of it is on its way must never run
-                calls[call].answered();
+                calls[call].markAnswered();
             }
         }
     }
--- a/src/test/java/gorsemast/http/AnswerModelTest.java
+++ b/src/test/java/gorsemast/http/AnswerModelTest.java
@@ -80,15 +80,15 @@
             }
 
             @Override
-            public boolean mayCarry() {
-                return defect == Defect.TIME_OUT_KEEPS_THE_CONNECTION || super.mayCarry();
+            public boolean isAvailable() {
+                return defect == Defect.TIME_OUT_KEEPS_THE_CONNECTION || super.isAvailable();
             }
 
             @Override
-            public boolean mayCarry(String called, boolean alone) {
+            public boolean canCarry(String called, boolean alone) {
                 return defect == Defect.TURNED_AWAY_COMES_BACK
-                        ? mayCarry()
-                        : super.mayCarry(called, alone && keepsAlone());
+                        ? isAvailable()
+                        : super.canCarry(called, alone && keepsAlone());
             }
 
             @Override
@@ -103,8 +103,8 @@
             }
 
             @Override
-            public void lastByteLeaves() {
-                super.lastByteLeaves();
+            public void lastByteSent() {
+                super.lastByteSent();
                 whole = true;
             }
 
@@ -115,17 +115,17 @@
             }
 
             @Override
-            public Take head(Whose whose, boolean interim, boolean notRun, boolean served) {
-                boolean any = defect == Defect.IDS_ARE_NOT_COMPARED && whose == Whose.OTHER
-                        || defect == Defect.NAMELESS_ANSWERS_COUNT && whose == Whose.NOBODY;
+            public Disposition head(ResponseMatch whose, boolean interim, boolean notRun, boolean served) {
+                boolean any = defect == Defect.IDS_ARE_NOT_COMPARED && whose == ResponseMatch.OTHER_REQUEST
+                        || defect == Defect.NAMELESS_ANSWERS_COUNT && whose == ResponseMatch.UNIDENTIFIED;
                 if (defect == Defect.EARLY_ANSWERS_NEVER_RAN && !whole) {
-                    return super.head(Whose.NOBODY, interim, true, served);
+                    return super.head(ResponseMatch.UNIDENTIFIED, interim, true, served);
                 }
-                return super.head(any ? Whose.NAMED : whose, interim, notRun, served);
+                return super.head(any ? ResponseMatch.BY_ID : whose, interim, notRun, served);
             }
 
             @Override
-            public Done readDone(boolean rest) {
+            public ReadOutcome readDone(boolean rest) {
                 return super.readDone(rest && defect != Defect.SURPLUS_BYTES_ARE_KEPT);
             }
         };
@@ -159,11 +159,13 @@
     void anEndlessRowOfInterimAnswersIsNone() {
         ConnectionState state = new ConnectionState();
         state.carry("a", false, false);
-        state.lastByteLeaves();
+        state.lastByteSent();
         for (int i = 0; i < ConnectionState.MAX_INTERIM; i++) {
-            assertThat(state.head(Whose.NOBODY, true, false, false)).isEqualTo(ConnectionState.Take.INTERIM);
+            assertThat(state.head(ResponseMatch.UNIDENTIFIED, true, false, false))
+                    .isEqualTo(ConnectionState.Disposition.INTERIM);
             state.part(true);
         }
-        assertThat(state.head(Whose.NOBODY, true, false, false)).isEqualTo(ConnectionState.Take.BROKEN);
+        assertThat(state.head(ResponseMatch.UNIDENTIFIED, true, false, false))
+                .isEqualTo(ConnectionState.Disposition.BROKEN);
     }
 }
--- a/src/test/java/gorsemast/lifecycle/LifecycleTest.java
+++ b/src/test/java/gorsemast/lifecycle/LifecycleTest.java
@@ -19,7 +19,7 @@
         assertFalse(life.resume());
         life.started();
         assertTrue(life.ready());
-        assertFalse(life.closing(Long.MAX_VALUE - 1));
+        assertFalse(life.isClosing(Long.MAX_VALUE - 1));
     }
 
     @Test
@@ -28,13 +28,13 @@
         assertTrue(life.quiesce(1_000));
         assertFalse(life.ready());
         assertFalse(life.addressReady());
-        assertFalse(life.closing(1_000 + Lifecycle.NOTICED_MICROS - 1));
-        assertTrue(life.closing(1_000 + Lifecycle.NOTICED_MICROS));
+        assertFalse(life.isClosing(1_000 + Lifecycle.PROBE_REACTION_MICROS - 1));
+        assertTrue(life.isClosing(1_000 + Lifecycle.PROBE_REACTION_MICROS));
         assertTrue(life.quiesce(900_000), "again is harmless");
-        assertTrue(life.closing(1_000 + Lifecycle.NOTICED_MICROS), "and does not put it off");
+        assertTrue(life.isClosing(1_000 + Lifecycle.PROBE_REACTION_MICROS), "and does not put it off");
         assertTrue(life.resume());
         assertTrue(life.ready());
-        assertFalse(life.closing(10_000_000));
+        assertFalse(life.isClosing(10_000_000));
     }
 
     @Test
@@ -43,8 +43,8 @@
         life.quiesce(0);
         int free = 200;
         int most = 0;
-        for (long now = 0; now <= Lifecycle.NOTICED_MICROS + Lifecycle.SPREAD_MICROS; now += PERIOD) {
-            int closed = life.toClose(now, free, PERIOD);
+        for (long now = 0; now <= Lifecycle.PROBE_REACTION_MICROS + Lifecycle.IDLE_CLOSE_SPREAD_MICROS; now += PERIOD) {
+            int closed = life.idleConnectionsToClose(now, free, PERIOD);
             assertTrue(closed <= free);
             most = Math.max(most, closed);
             free -= closed;
@@ -59,16 +59,16 @@
         life.terminate(0, false, SERVE_ON);
         assertEquals(Phase.STOPPING, life.phase());
         assertFalse(life.addressReady());
-        assertFalse(life.closing(SERVE_ON - 1));
-        assertEquals(7, life.toClose(SERVE_ON, 7, PERIOD));
+        assertFalse(life.isClosing(SERVE_ON - 1));
+        assertEquals(7, life.idleConnectionsToClose(SERVE_ON, 7, PERIOD));
 
         Lifecycle old = new Lifecycle();
         old.started();
         old.terminate(5, true, SERVE_ON);
-        assertTrue(old.closing(5));
+        assertTrue(old.isClosing(5));
         assertFalse(old.ready());
         assertTrue(old.addressReady(), "the address is served by the successor");
-        assertTrue(old.ending());
+        assertTrue(old.isEnding());
     }
 
     @Test
@@ -76,7 +76,7 @@
         life.started();
         life.quiesce(0);
         life.terminate(2_000_000, false, SERVE_ON);
-        assertTrue(life.closing(2_000_000));
+        assertTrue(life.isClosing(2_000_000));
         assertFalse(life.resume());
     }
 
@@ -84,13 +84,13 @@
     @Test
     void leavesAsSoonAsSomebodyFollows() {
         life.started();
-        life.succeeded(1);
+        life.successorStarted(1);
         assertEquals(Phase.SERVING, life.phase(), "only who is to end leaves");
         life.terminate(2, false, SERVE_ON);
-        assertFalse(life.closing(3));
-        life.succeeded(3);
+        assertFalse(life.isClosing(3));
+        life.successorStarted(3);
         assertEquals(Phase.HANDING_OVER, life.phase());
-        assertTrue(life.closing(3));
+        assertTrue(life.isClosing(3));
         assertTrue(life.addressReady());
     }
 }
--- a/src/test/java/gorsemast/modelcheck/MembershipTest.java
+++ b/src/test/java/gorsemast/modelcheck/MembershipTest.java
@@ -103,8 +103,8 @@
     private static boolean out(StoreWorld world, String id) {
         String leader = world.leader();
         return leader != null
-                && world.replica(leader).view().before().isEmpty()
-                && !world.replica(leader).view().has(id);
+                && world.replica(leader).view().previousMembers().isEmpty()
+                && !world.replica(leader).view().isVoter(id);
     }
 
     @Test
@@ -194,7 +194,7 @@
         StoreWorld world = settled(3, 1, 1, 4, Plant.NONE);
         world.remove("m2");
         world.calm(15 * SECOND);
-        assertThat(world.replica(world.leader()).known())
+        assertThat(world.replica(world.leader()).knownMembers())
                 .extracting(member -> member.ip())
                 .doesNotContain("m2")
                 .hasSize(3);
@@ -260,7 +260,7 @@
                 && !leader.equals(old)
                 && world.replica(leader).view().members().stream()
                         .anyMatch(member -> member.ip().equals("m4"))
-                && world.replica(leader).view().before().isEmpty();
+                && world.replica(leader).view().previousMembers().isEmpty();
     }
 
     /** Seeds in one zone, in two, and as many machines beside them as let each zone's loss be borne. */
--- a/src/test/java/gorsemast/node/SettingsTest.java
+++ b/src/test/java/gorsemast/node/SettingsTest.java
@@ -57,9 +57,9 @@
     void aMachinesSettingsAreRead() {
         Settings settings = Settings.parse(GOOD);
         assertThat(settings.name()).isEqualTo("edge-1");
-        assertThat(settings.zoneNumber(settings.zone())).isEqualTo(1);
-        assertThat(settings.listens().get("front").getPort()).isEqualTo(8144);
-        assertThat(settings.beatMicros()).isEqualTo(1_500_000);
+        assertThat(settings.zoneIndex(settings.zone())).isEqualTo(1);
+        assertThat(settings.listenAddresses().get("front").getPort()).isEqualTo(8144);
+        assertThat(settings.heartbeatMicros()).isEqualTo(1_500_000);
         assertThat(settings.time("drain", 0)).isEqualTo(2_000_000);
         assertThat(settings.number("retryBudgetRatio", 0)).isEqualTo(0.2);
         assertThat(settings.tolerance()).isEqualTo(new FaultTolerance(1, 0, 1));
--- a/src/test/java/gorsemast/peer/GossipCatchUpTest.java
+++ b/src/test/java/gorsemast/peer/GossipCatchUpTest.java
@@ -6,10 +6,10 @@
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
 import gorsemast.gossip.GossipState;
-import gorsemast.gossip.PurgeNews;
-import gorsemast.gossip.ServerNews;
-import gorsemast.peer.Record.Hello;
-import gorsemast.peer.Record.Program;
+import gorsemast.gossip.PurgeRequest;
+import gorsemast.gossip.ServerInfo;
+import gorsemast.peer.PeerMessage.Hello;
+import gorsemast.peer.PeerMessage.Program;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -37,7 +37,7 @@
     private final VirtualTime time = new VirtualTime(10_000_000);
     private final SplittableRandom random = new SplittableRandom(5);
     private final List<Node> nodes = new ArrayList<>();
-    private Predicate<Record> drops = record -> false;
+    private Predicate<PeerMessage> drops = record -> false;
 
     /** A process that gossips. */
     private final class Node implements Neighbours {
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public Collection<Neighbour> up() {
+        public Collection<Neighbour> connected() {
             return new ArrayList<>(ends);
         }
     }
@@ -77,12 +77,12 @@
         }
 
         @Override
-        public Hello peer() {
+        public Hello hello() {
             return other.hello;
         }
 
         @Override
-        public void send(Record record) {
+        public void send(PeerMessage record) {
             if (of.away || other.away || drops.test(record)) {
                 return; // lost, though the link may stay
             }
@@ -95,7 +95,7 @@
         }
     }
 
-    private byte[] written(Record record) {
+    private byte[] written(PeerMessage record) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             record.write(out, time.now());
@@ -105,9 +105,9 @@
         return bytes.toByteArray();
     }
 
-    private Record read(byte[] bytes) {
+    private PeerMessage read(byte[] bytes) {
         try {
-            return Record.read(new DataInputStream(new ByteArrayInputStream(bytes)), time.now());
+            return PeerMessage.read(new DataInputStream(new ByteArrayInputStream(bytes)), time.now());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -120,8 +120,8 @@
         theirs.far = mine;
         a.ends.add(mine);
         b.ends.add(theirs);
-        a.gossip.up(mine);
-        b.gossip.up(theirs);
+        a.gossip.connected(mine);
+        b.gossip.connected(theirs);
     }
 
     private void unlink(Node a) {
@@ -162,10 +162,10 @@
             Gossip at = registries.get(random.nextInt(registries.size())).gossip;
             long now = time.now();
             at.publish(new Entry(Kind.CONFIGURATION, "", change, CONFIGURATION, now));
-            at.publish(new PurgeNews("p" + change, "h.example", "/o/" + change, "").item(now));
-            ServerNews.State state = ServerNews.State.values()[random.nextInt(ServerNews.State.values().length)];
-            at.publish(new ServerNews("s" + change % SERVERS, "orders", "10.9.0.1:80", "a", 1, state, change, 0)
-                    .item(now));
+            at.publish(new PurgeRequest("p" + change, "h.example", "/o/" + change, "").toEntry(now));
+            ServerInfo.State state = ServerInfo.State.values()[random.nextInt(ServerInfo.State.values().length)];
+            at.publish(new ServerInfo("s" + change % SERVERS, "orders", "10.9.0.1:80", "a", 1, state, change, 0)
+                    .toEntry(now));
             time.run(now + CHANGE_MICROS);
         }
     }
@@ -185,7 +185,7 @@
     }
 
     private static boolean same(Node one, Node other) {
-        return one.board.differing(other.board.digest()) == 0;
+        return one.board.differingBuckets(other.board.digest()) == 0;
     }
 
     /** Its links were down, and come back. */
@@ -234,7 +234,7 @@
         unlink(away);
         changes(away);
         away.away = false;
-        drops = record -> record instanceof Record.Digest;
+        drops = record -> record instanceof PeerMessage.Digest;
         join(away);
         time.run(time.now() + 2 * CONTACT_MICROS);
         assertThat(same(away, nodes.get(0))).isFalse();
--- a/src/test/java/gorsemast/pool/PoolsTest.java
+++ b/src/test/java/gorsemast/pool/ConnectionPoolsTest.java
@@ -5,29 +5,29 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gorsemast.pool.Pools.Room;
+import gorsemast.pool.ConnectionPools.OpenDecision;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class PoolsTest {
+class ConnectionPoolsTest {
     private static final String NODE = "s-1";
-    private final Pools pools = new Pools(40, new SplittableRandom(3));
+    private final ConnectionPools pools = new ConnectionPools(40, new SplittableRandom(3));
     private long now = 1_000_000;
 
     private void open(String node, int count) {
         for (int i = 0; i < count; i++) {
-            pools.opening(now, node);
-            pools.up(node);
+            pools.connectStarted(now, node);
+            pools.connected(node);
         }
     }
 
     /** Opens for {@code waiting} attempts as far as it is allowed; returns how many. */
     private int grow(String node, int waiting) {
         int opened = 0;
-        while (pools.room(now, node, waiting) == Room.OPEN) {
-            pools.opening(now, node);
+        while (pools.decideOpen(now, node, waiting) == OpenDecision.OPEN) {
+            pools.connectStarted(now, node);
             opened++;
         }
         return opened;
@@ -36,51 +36,51 @@
     @Test
     void opensOneForEachThatWaitsAndNoMore() {
         assertEquals(2, grow(NODE, 2));
-        assertEquals(Room.WAIT, pools.room(now, NODE, 2));
+        assertEquals(OpenDecision.WAIT, pools.decideOpen(now, NODE, 2));
     }
 
     /** A burst doubles the pool each round trip; all at once would be a storm of handshakes. */
     @Test
     void burstsOpenAtABoundedPace() {
-        assertEquals(Pools.FIRST, grow(NODE, 30));
-        for (int i = 0; i < Pools.FIRST; i++) {
-            pools.up(NODE);
+        assertEquals(ConnectionPools.FIRST, grow(NODE, 30));
+        for (int i = 0; i < ConnectionPools.FIRST; i++) {
+            pools.connected(NODE);
         }
-        assertEquals(Pools.FIRST, grow(NODE, 26));
-        for (int i = 0; i < Pools.FIRST; i++) {
-            pools.up(NODE);
+        assertEquals(ConnectionPools.FIRST, grow(NODE, 26));
+        for (int i = 0; i < ConnectionPools.FIRST; i++) {
+            pools.connected(NODE);
         }
-        assertEquals(2 * Pools.FIRST, grow(NODE, 22));
+        assertEquals(2 * ConnectionPools.FIRST, grow(NODE, 22));
     }
 
     @Test
     void aFailureWithNothingOpenTellsOfTheNode() {
-        pools.opening(now, NODE);
-        assertTrue(pools.failed(now, NODE));
-        assertEquals(Room.OPEN, pools.room(now, NODE, 1), "the module paces what goes to such a node");
+        pools.connectStarted(now, NODE);
+        assertTrue(pools.connectFailed(now, NODE));
+        assertEquals(OpenDecision.OPEN, pools.decideOpen(now, NODE, 1), "the module paces what goes to such a node");
     }
 
     /** The table of the node is full: what it let in is kept to, and one more is tried, later each time. */
     @Test
     void aFailureBesideOpenOnesIsABoundAndNotADeadNode() {
         open(NODE, 5);
-        pools.opening(now, NODE);
-        assertFalse(pools.failed(now, NODE));
-        assertEquals(Room.WAIT, pools.room(now, NODE, 3));
+        pools.connectStarted(now, NODE);
+        assertFalse(pools.connectFailed(now, NODE));
+        assertEquals(OpenDecision.WAIT, pools.decideOpen(now, NODE, 3));
         long last = 0;
         for (int i = 0; i < 8; i++) {
-            long trial = pools.trialAt(NODE) - now;
-            assertTrue(trial <= Pools.LONGEST_MICROS * 1.3, "trial after " + trial);
+            long trial = pools.nextTrialAt(NODE) - now;
+            assertTrue(trial <= ConnectionPools.LONGEST_MICROS * 1.3, "trial after " + trial);
             assertTrue(i > 3 || trial > last, "trials further apart: " + last + ", " + trial);
             last = trial;
-            now = pools.trialAt(NODE);
+            now = pools.nextTrialAt(NODE);
             assertEquals(1, grow(NODE, 3), "one trial at a time");
-            pools.failed(now, NODE);
+            pools.connectFailed(now, NODE);
         }
-        now = pools.trialAt(NODE);
+        now = pools.nextTrialAt(NODE);
         assertEquals(1, grow(NODE, 3));
-        pools.up(NODE);
-        assertEquals(6, pools.open(NODE));
+        pools.connected(NODE);
+        assertEquals(6, pools.openCount(NODE));
         assertEquals(1, grow(NODE, 3), "it has let one more in, so the next is tried at once");
     }
 
@@ -88,12 +88,12 @@
     void trialsOfManyProcessesAreSpread() {
         Map<Long, Integer> at = new HashMap<>();
         for (int seed = 0; seed < 100; seed++) {
-            Pools other = new Pools(40, new SplittableRandom(seed));
-            other.opening(now, NODE);
-            other.up(NODE);
-            other.opening(now, NODE);
-            other.failed(now, NODE);
-            at.merge((other.trialAt(NODE) - now) / 10_000, 1, Integer::sum);
+            ConnectionPools other = new ConnectionPools(40, new SplittableRandom(seed));
+            other.connectStarted(now, NODE);
+            other.connected(NODE);
+            other.connectStarted(now, NODE);
+            other.connectFailed(now, NODE);
+            at.merge((other.nextTrialAt(NODE) - now) / 10_000, 1, Integer::sum);
         }
         assertTrue(at.values().stream().allMatch(n -> n < 40), "so many in one 10 ms: " + at);
     }
@@ -101,13 +101,13 @@
     @Test
     void atTheBoundWhoHasNoneGetsNone() {
         open("a", 40);
-        assertEquals(Room.NONE, pools.room(now, NODE, 1));
-        assertEquals(Room.WAIT, pools.room(now, "a", 1));
-        assertEquals("a", pools.crowded());
+        assertEquals(OpenDecision.NONE, pools.decideOpen(now, NODE, 1));
+        assertEquals(OpenDecision.WAIT, pools.decideOpen(now, "a", 1));
+        assertEquals("a", pools.nodeWithMostIdle());
         for (int i = 0; i < 40; i++) {
-            pools.taken(now, "a");
+            pools.acquired(now, "a");
         }
-        assertNull(pools.crowded());
+        assertNull(pools.nodeWithMostIdle());
     }
 
     @Test
@@ -115,8 +115,8 @@
         open("a", 30);
         open("b", 3);
         open("c", 3);
-        assertEquals(Room.WAIT, pools.room(now, "a", 1), "a has more than twice its share");
-        assertEquals(Room.OPEN, pools.room(now, "b", 1));
+        assertEquals(OpenDecision.WAIT, pools.decideOpen(now, "a", 1), "a has more than twice its share");
+        assertEquals(OpenDecision.OPEN, pools.decideOpen(now, "b", 1));
     }
 
     /** A node that closes often gets its connections back before they are asked for, as far as uses earned them. */
@@ -124,20 +124,20 @@
     void keepsWarmForTheUsualRate() {
         open(NODE, 3);
         for (int i = 0; i < 30; i++) {
-            pools.taken(now, NODE);
-            pools.taken(now, NODE);
-            pools.given(NODE);
-            pools.given(NODE);
+            pools.acquired(now, NODE);
+            pools.acquired(now, NODE);
+            pools.released(NODE);
+            pools.released(NODE);
         }
         pools.closed(NODE);
-        assertFalse(pools.spare(now, NODE), "two are as many as are used at once");
+        assertFalse(pools.shouldOpenSpare(now, NODE), "two are as many as are used at once");
         pools.closed(NODE);
-        assertTrue(pools.spare(now, NODE));
-        pools.opening(now, NODE);
-        assertFalse(pools.spare(now, NODE), "one is coming up");
-        pools.failed(now, NODE);
-        now += 10 * Pools.HALF_LIFE_MICROS;
-        assertFalse(pools.spare(now, NODE), "nobody has asked for long");
+        assertTrue(pools.shouldOpenSpare(now, NODE));
+        pools.connectStarted(now, NODE);
+        assertFalse(pools.shouldOpenSpare(now, NODE), "one is coming up");
+        pools.connectFailed(now, NODE);
+        now += 10 * ConnectionPools.HALF_LIFE_MICROS;
+        assertFalse(pools.shouldOpenSpare(now, NODE), "nobody has asked for long");
     }
 
     @Test
@@ -145,18 +145,18 @@
         int opened = 0;
         for (int i = 0; i < 1_000; i++) {
             open(NODE, 1);
-            pools.taken(now, NODE);
-            pools.taken(now, NODE);
-            pools.given(NODE);
-            pools.given(NODE);
+            pools.acquired(now, NODE);
+            pools.acquired(now, NODE);
+            pools.released(NODE);
+            pools.released(NODE);
             pools.closed(NODE);
-            if (pools.spare(now, NODE)) {
-                pools.opening(now, NODE);
-                pools.failed(now, NODE);
+            if (pools.shouldOpenSpare(now, NODE)) {
+                pools.connectStarted(now, NODE);
+                pools.connectFailed(now, NODE);
                 opened++;
             }
         }
-        assertTrue(opened > 0 && opened <= 2_000 / Pools.USES_PER_SPARE + 4, "opened ahead: " + opened);
+        assertTrue(opened > 0 && opened <= 2_000 / ConnectionPools.USES_PER_SPARE + 4, "opened ahead: " + opened);
     }
 
     /** Ids of nodes are ever new: what is kept for one that has left must go with its last connection. */
@@ -165,14 +165,14 @@
         for (int i = 0; i < 100; i++) {
             String node = "n" + i;
             open(node, 2);
-            pools.taken(now, node);
-            pools.opening(now, node);
+            pools.acquired(now, node);
+            pools.connectStarted(now, node);
             pools.closed(node);
-            pools.forget(node);
+            pools.removeNode(node);
             assertEquals(1, pools.nodes(), "one is open and one is coming up");
-            pools.failed(now, node);
+            pools.connectFailed(now, node);
             pools.closed(node);
-            pools.given(node);
+            pools.released(node);
             assertEquals(0, pools.nodes());
         }
         assertEquals(0, pools.total());
@@ -189,33 +189,33 @@
             int[] m = model.computeIfAbsent(node, n -> new int[3]);
             switch (random.nextInt(6)) {
                 case 0, 1 -> {
-                    if (pools.room(now, node, 1 + random.nextInt(9)) == Room.OPEN) {
-                        pools.opening(now, node);
+                    if (pools.decideOpen(now, node, 1 + random.nextInt(9)) == OpenDecision.OPEN) {
+                        pools.connectStarted(now, node);
                         m[1]++;
                     }
                 }
                 case 2 -> {
                     if (m[1] > 0) {
-                        pools.up(node);
+                        pools.connected(node);
                         m[1]--;
                         m[0]++;
                     }
                 }
                 case 3 -> {
                     if (m[1] > 0) {
-                        assertEquals(m[0] == 0, pools.failed(now, node));
+                        assertEquals(m[0] == 0, pools.connectFailed(now, node));
                         m[1]--;
                     }
                 }
                 case 4 -> {
                     if (m[0] > m[2]) {
-                        pools.taken(now, node);
+                        pools.acquired(now, node);
                         m[2]++;
                     }
                 }
                 default -> {
                     if (m[2] > 0) {
-                        pools.given(node);
+                        pools.released(node);
                         m[2]--;
                     } else if (m[0] > 0) {
                         pools.closed(node);
@@ -223,8 +223,8 @@
                     }
                 }
             }
-            assertEquals(m[0], pools.open(node));
-            assertEquals(m[1], pools.opening(node));
+            assertEquals(m[0], pools.openCount(node));
+            assertEquals(m[1], pools.connectingCount(node));
             assertTrue(pools.total() <= 40);
             assertEquals(model.values().stream().mapToInt(x -> x[0] + x[1]).sum(), pools.total());
         }
--- a/src/test/java/gorsemast/proxy/HomeAnswerTest.java
+++ b/src/test/java/gorsemast/proxy/HomeAnswerTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import gorsemast.cache.Copy;
-import gorsemast.cache.HomeAnswer;
-import gorsemast.cache.HomeQuestion;
-import gorsemast.cache.WantedObject;
+import gorsemast.cache.CachedResponse;
+import gorsemast.cache.HomeRequest;
+import gorsemast.cache.HomeResponseListener;
+import gorsemast.cache.ObjectRequest;
 import gorsemast.configuration.Configuration;
 import gorsemast.configuration.Route;
 import gorsemast.dispatch.RawServer;
@@ -38,47 +38,47 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    private void ask(HomeAsker asker, String uri) {
+    private void ask(HomeClient asker, String uri) {
         Route route =
                 Configuration.parse(LoopbackNetwork.configuration(1, "20s")).route(LoopbackNetwork.HOST, uri);
-        WantedObject what = new WantedObject(route, route.host(), uri);
-        HomeQuestion question = new HomeQuestion("edge", what, 1, 0, 0, 10_000_000, 10_000_000);
-        loop.execute(() -> asker.ask(question, new HomeAnswer<>() {
+        ObjectRequest what = new ObjectRequest(route, route.host(), uri);
+        HomeRequest question = new HomeRequest("edge", what, 1, 0, 0, 10_000_000, 10_000_000);
+        loop.execute(() -> asker.ask(question, new HomeResponseListener<>() {
             @Override
-            public void copy(Copy copy) {
+            public void copy(CachedResponse copy) {
                 told.add("copy " + new String(copy.body(), StandardCharsets.US_ASCII));
             }
 
             @Override
-            public void other(FullHttpResponse answer) {
+            public void onUncacheable(FullHttpResponse answer) {
                 told.add("other " + answer.status().code());
             }
 
             @Override
-            public void refused(long retryAfterMicros) {
+            public void onRefused(long retryAfterMicros) {
                 told.add("refused");
             }
 
             @Override
-            public void useless() {
+            public void onUnusable() {
                 told.add("useless");
             }
 
             @Override
-            public void inHand() {
+            public void onStillFetching() {
                 told.add("in hand");
             }
 
             @Override
-            public void silent(boolean ours) {
+            public void onSilent(boolean ours) {
                 told.add("silent");
             }
         }));
     }
 
-    private HomeAsker asker(RawServer home) {
+    private HomeClient asker(RawServer home) {
         Upstream between = new Upstream(loop, new HomeDialect(), peer -> true, 4, 60_000, 2_000, 1);
-        return new HomeAsker(
+        return new HomeClient(
                 loop, () -> 0L, between, edge -> home.address(), 4, true, new EventCounters<>(SocketEvent.class), 1);
     }
 
@@ -120,7 +120,7 @@
     @Test
     void aSurplusAnswerInThePlaceOfTheNextIsNobodys() throws Exception {
         try (RawServer home = new RawServer(4)) {
-            HomeAsker asker = asker(home);
+            HomeClient asker = asker(home);
             ask(asker, "/objects/a");
             RawServer.Connection connection = home.accept();
             String first = number(connection.request());
--- a/src/test/java/gorsemast/proxy/PipelineTest.java
+++ b/src/test/java/gorsemast/proxy/PipelineTest.java
@@ -23,7 +23,7 @@
 
 /** Requests sent ahead: what stands behind an answer that closes the connection is sent again, so it is not begun. */
 class PipelineTest {
-    private final List<Turn> begun = new ArrayList<>();
+    private final List<Exchange> begun = new ArrayList<>();
     private final Set<String> once = new HashSet<>(Set.of("/pay"));
     private final Map<String, Boolean> known = new HashMap<>();
     private boolean closing;
@@ -72,7 +72,7 @@
             }
 
             @Override
-            public void take(Turn turn) {
+            public void take(Exchange turn) {
                 turn.takeBody().release();
                 begun.add(turn);
             }
@@ -98,7 +98,7 @@
             }
 
             @Override
-            public void answeredItself(OwnAnswer why) {
+            public void answeredItself(LocalResponse why) {
                 // not looked at
             }
 
@@ -131,7 +131,7 @@
 
     private List<String> begun() {
         channel.runPendingTasks(); // a request is handed over once all that has come with it is read
-        return begun.stream().map(Turn::uri).toList();
+        return begun.stream().map(Exchange::uri).toList();
     }
 
     /** Answers it; returns all that has been written to the client since. */
--- a/src/test/java/gorsemast/proxy/ProxyNodeTest.java
+++ b/src/test/java/gorsemast/proxy/ProxyNodeTest.java
@@ -6,12 +6,12 @@
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
 import gorsemast.gossip.GossipState;
-import gorsemast.gossip.MachineNews;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.MachineInfo;
+import gorsemast.gossip.ServerInfo;
 import gorsemast.peer.Neighbour;
-import gorsemast.peer.Record;
-import gorsemast.peer.Record.Digest;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage;
+import gorsemast.peer.PeerMessage.Digest;
+import gorsemast.peer.PeerMessage.Program;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -28,14 +28,14 @@
             "virtualHosts":[{"hostname":"h","pathRules":[{"name":"r","pathPrefix":"/","routeType":"idempotent",
             "timeout":"1s","targetLatency":"1s","priority":1,"maxAttempts":1,"backend":"s"}]}]}""";
 
-    private static final class Quiet implements ProxyNode.Follower {
+    private static final class Quiet implements ProxyNode.Listener {
         @Override
-        public void configured(Configuration now, int edges) {
+        public void configurationChanged(Configuration now, int edges) {
             // nothing goes by it here
         }
 
         @Override
-        public void servers(Map<String, List<ServerNews>> by, Map<String, Long> coldUntil) {
+        public void serversChanged(Map<String, List<ServerInfo>> by, Map<String, Long> coldUntil) {
             // nothing goes by it here
         }
 
@@ -45,26 +45,26 @@
         }
 
         @Override
-        public void speeds(Map<String, double[]> pooled) {
+        public void speedsReceived(Map<String, double[]> pooled) {
             // nothing goes by it here
         }
 
         @Override
-        public void afterwards(Runnable task) {
+        public void runAfterwards(Runnable task) {
             task.run();
         }
     }
 
-    private final List<Record> sent = new ArrayList<>();
+    private final List<PeerMessage> sent = new ArrayList<>();
     private final GossipState held = new GossipState();
     private final Neighbour registry = new Neighbour() {
         @Override
-        public Record.Hello peer() {
-            return new Record.Hello(Program.REGISTRY, "10.0.0.1", "z", "", 1);
+        public PeerMessage.Hello hello() {
+            return new PeerMessage.Hello(Program.REGISTRY, "10.0.0.1", "z", "", 1);
         }
 
         @Override
-        public void send(Record record) {
+        public void send(PeerMessage record) {
             sent.add(record);
         }
     };
@@ -85,17 +85,17 @@
                 Map::of,
                 new Quiet());
         held.merge(now, new Entry(Kind.CONFIGURATION, "", 1, CONFIGURATION.getBytes(StandardCharsets.UTF_8), now));
-        held.merge(now, new MachineNews("10.0.0.1", "z", "", true, 1).item(Kind.CORE, now));
+        held.merge(now, new MachineInfo("10.0.0.1", "z", "", true, 1).toEntry(Kind.CORE, now));
         edge.up(registry);
-        edge.received(registry, new Record.News(0, held.newerThan((1 << GossipState.BUCKETS) - 1, List.of())));
+        edge.received(registry, new PeerMessage.Updates(0, held.newerThan((1 << GossipState.BUCKETS) - 1, List.of())));
     }
 
     /** What it asked last is answered so much later. */
     private void answered(boolean vouches, long later) {
         edge.tick();
         long asks = 0;
-        for (Record record : sent) {
-            asks = record instanceof Digest digest ? digest.asks() : asks;
+        for (PeerMessage record : sent) {
+            asks = record instanceof Digest digest ? digest.requestTime() : asks;
         }
         now += later;
         edge.received(registry, new Digest(vouches, 0, asks, held.digest()));
@@ -157,8 +157,8 @@
 
     private long lastQuestion() {
         long asks = 0;
-        for (Record record : sent) {
-            asks = record instanceof Digest digest && digest.asks() != 0 ? digest.asks() : asks;
+        for (PeerMessage record : sent) {
+            asks = record instanceof Digest digest && digest.requestTime() != 0 ? digest.requestTime() : asks;
         }
         return asks;
     }
--- a/src/test/java/gorsemast/retune/ClassBookTest.java
+++ b/src/test/java/gorsemast/retune/ClassNumberingTest.java
@@ -9,14 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class ClassBookTest {
+class ClassNumberingTest {
     private static RequestClass rules(Effect effect, long deadline) {
         return new RequestClass(effect, Group.ALL, 0, 100, deadline, 1);
     }
 
     private static final RequestClass READ = rules(Effect.SAFE, 1_000);
     private static final RequestClass ONCE = rules(Effect.UNSAFE, 1_000);
-    private static final ClassBook FIRST = ClassBook.of(List.of("read", "topup"), List.of(READ, ONCE));
+    private static final ClassNumbering FIRST = ClassNumbering.of(List.of("read", "topup"), List.of(READ, ONCE));
 
     @Test
     void numbersInOrder() {
@@ -28,7 +28,7 @@
 
     @Test
     void aDroppedClassKeepsItsNumberAndLosesItsName() {
-        ClassBook next = FIRST.with(List.of("topup"), List.of(ONCE));
+        ClassNumbering next = FIRST.with(List.of("topup"), List.of(ONCE));
         assertEquals(-1, next.number("read"));
         assertEquals(1, next.number("topup"));
         assertEquals(READ, next.rules().get(0));
@@ -38,22 +38,22 @@
 
     @Test
     void otherRulesGetAnotherNumberAndTheOldOnesStay() {
-        ClassBook next = FIRST.with(List.of("topup", "read"), List.of(READ, READ));
+        ClassNumbering next = FIRST.with(List.of("topup", "read"), List.of(READ, READ));
         assertEquals(2, next.number("topup"));
         assertEquals(0, next.number("read"));
         assertEquals(ONCE, next.rules().get(1));
-        ClassBook back = next.with(List.of("read", "topup"), List.of(READ, ONCE));
+        ClassNumbering back = next.with(List.of("read", "topup"), List.of(READ, ONCE));
         assertEquals(1, back.number("topup"), "the number that had these rules");
         assertEquals(3, back.rules().size());
     }
 
     @Test
     void endsWhereOnlyARestartHelps() {
-        ClassBook book = FIRST;
-        for (int i = book.rules().size(); i < ClassBook.MOST; i++) {
+        ClassNumbering book = FIRST;
+        for (int i = book.rules().size(); i < ClassNumbering.MAX_CLASSES; i++) {
             book = book.with(List.of("read"), List.of(rules(Effect.SAFE, 2_000 + i)));
         }
-        ClassBook full = book;
+        ClassNumbering full = book;
         assertThrows(IllegalArgumentException.class, () -> full.with(List.of("new"), List.of(READ)));
         assertEquals(0, full.with(List.of("read"), List.of(READ)).number("read"));
     }
--- a/src/test/java/gorsemast/retune/ShapeTest.java
+++ b/src/test/java/gorsemast/retune/ConfigurationShapeTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ShapeTest {
+class ConfigurationShapeTest {
     private static final Map<String, Object> PRESENT = Map.of(
             "name",
             "n0",
@@ -28,13 +28,13 @@
     }
 
     private static String missing(Map<String, Object> next) {
-        return assertThrows(IOException.class, () -> Shape.check(PRESENT, next, Set.of("known")))
+        return assertThrows(IOException.class, () -> ConfigurationShape.check(PRESENT, next, Set.of("known")))
                 .getMessage();
     }
 
     @Test
     void takesOtherValuesAndMoreKeys() {
-        assertDoesNotThrow(() -> Shape.check(
+        assertDoesNotThrow(() -> ConfigurationShape.check(
                 PRESENT,
                 next(Map.of(
                         "allowed",
--- a/src/test/java/gorsemast/simulation/CutOffTest.java
+++ b/src/test/java/gorsemast/simulation/CutOffTest.java
@@ -4,9 +4,9 @@
 
 import gorsemast.gossip.Entry;
 import gorsemast.gossip.Entry.Kind;
-import gorsemast.gossip.ServerNews;
+import gorsemast.gossip.ServerInfo;
 import gorsemast.http.NettyLog;
-import gorsemast.peer.Record.Program;
+import gorsemast.peer.PeerMessage.Program;
 import gorsemast.simulation.CoreProcesses.Registry;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -106,7 +106,7 @@
             if (machine.frozenUntil <= now
                     && world.process(Program.REGISTRY, machine) instanceof Registry registry
                     && registry.office.synced()) {
-                Entry held = registry.office.board().get(Kind.CONFIGURATION, "");
+                Entry held = registry.office.state().get(Kind.CONFIGURATION, "");
                 assertThat(held == null ? 0 : held.stamp())
                         .as(machine.ip + " vouches at " + now / 1e6)
                         .isGreaterThanOrEqualTo(known);
@@ -185,8 +185,8 @@
     }
 
     private static boolean leaves(Entry entry) {
-        ServerNews known = entry == null ? null : ServerNews.of(entry);
-        return known != null && (known.state() == ServerNews.State.DRAINING || known.state() == ServerNews.State.GONE);
+        ServerInfo known = entry == null ? null : ServerInfo.fromEntry(entry);
+        return known != null && (known.state() == ServerInfo.State.DRAINING || known.state() == ServerInfo.State.GONE);
     }
 
     @ParameterizedTest
@@ -215,14 +215,14 @@
                         && world.process(Program.REGISTRY, machine) instanceof Registry registry
                         && registry.office.synced()) {
                     back[0] = back[0] == 0 ? world.time.now() : back[0];
-                    assertThat(leaves(registry.office.board().get(Kind.SERVER, "x-1")))
+                    assertThat(leaves(registry.office.state().get(Kind.SERVER, "x-1")))
                             .as(machine.ip + " vouches")
                             .isTrue();
                 }
             }
             for (Edge edge : world.edges()) {
                 if (lost[0] && edge.ready()) {
-                    assertThat(leaves(edge.lookout.board().get(Kind.SERVER, "x-1")))
+                    assertThat(leaves(edge.lookout.gossipState().get(Kind.SERVER, "x-1")))
                             .as(edge.machine.ip + " is ready")
                             .isTrue();
                 }
@@ -256,7 +256,7 @@
                 }));
         at(LEAD + 7 * SECOND, () -> world.machines(false).forEach(one -> cut(one, false, world.machines(true))));
         at(LEAD + 10 * SECOND, () -> world.edges()
-                .forEach(edge -> assertThat(edge.lookout.board().all(Kind.PURGE))
+                .forEach(edge -> assertThat(edge.lookout.gossipState().all(Kind.PURGE))
                         .as(edge.machine.ip)
                         .hasSize(1)));
         world.play(); // the referee knows what may be served
--- a/src/test/java/gorsemast/storage/FormerDiskTest.java
+++ b/src/test/java/gorsemast/storage/FormerDiskTest.java
@@ -33,9 +33,9 @@
         try (Environment environment =
                 Environments.newInstance(home.resolve(folder).toFile(), config)) {
             environment.executeInTransaction(txn -> {
-                var store = environment.openStore(FormerDisk.STORE, StoreConfig.WITHOUT_DUPLICATES, txn);
-                store.put(txn, StringBinding.stringToEntry(FormerDisk.STATE), checked(state));
-                store.put(txn, StringBinding.stringToEntry(FormerDisk.CONFIGURATION), checked(configuration));
+                var store = environment.openStore(XodusImport.STORE, StoreConfig.WITHOUT_DUPLICATES, txn);
+                store.put(txn, StringBinding.stringToEntry(XodusImport.STATE), checked(state));
+                store.put(txn, StringBinding.stringToEntry(XodusImport.CONFIGURATION), checked(configuration));
             });
         }
     }
--- a/src/test/java/gorsemast/storage/LossyFolder.java
+++ b/src/test/java/gorsemast/storage/LossyFolder.java
@@ -14,7 +14,7 @@
  * A folder that loses power in the middle of its n-th operation: what a file was last synced with is there, of what was
  * written since a first part, a last part, all or nothing; and each file whose name was not synced may be gone by itself.
  */
-final class LossyFolder implements Folder {
+final class LossyFolder implements Directory {
     /** Defects of what stands between a disk and its file system. */
     enum Defect {
         NONE,
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void syncNames() throws IOException {
+    public void syncDirectory() throws IOException {
         if (ends()) {
             throw new PowerLost();
         }
--- a/src/test/java/gorsemast/store/MembershipPlannerTest.java
+++ b/src/test/java/gorsemast/store/MembershipPlannerTest.java
@@ -22,15 +22,15 @@
     }
 
     private static Candidate well(String name, String zone) {
-        return new Candidate(member(name), 0, false, new Place(zone, "r", true));
+        return new Candidate(member(name), 0, false, new Location(zone, "r", true));
     }
 
     private static Candidate silent(String name, long micros) {
-        return new Candidate(member(name), micros, false, new Place("z", "r", true));
+        return new Candidate(member(name), micros, false, new Location("z", "r", true));
     }
 
     private static Candidate leaves(String name) {
-        return new Candidate(member(name), 0, true, new Place("z", "r", true));
+        return new Candidate(member(name), 0, true, new Location("z", "r", true));
     }
 
     private static List<Candidate> well(String zones) {
@@ -81,7 +81,7 @@
     @Test
     void onlyMachinesWhoseLossCountsAndThatStayAreTakenIn() {
         List<Candidate> members = List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0"));
-        Candidate uncounted = new Candidate(member("s#1"), 0, false, new Place("z", "r", false));
+        Candidate uncounted = new Candidate(member("s#1"), 0, false, new Location("z", "r", false));
         assertThat(machines.change(member("m1#0"), members, List.of(uncounted, leaves("t#1"))))
                 .isNull();
     }
@@ -142,12 +142,12 @@
 
     @Test
     void whatTheMachinesDoNotAllowIsSaidOnce() {
-        Membership membership = new Membership(new FaultTolerance(1, 1, 0), new Place("a", "r", true));
+        Membership membership = new Membership(new FaultTolerance(1, 1, 0), new Location("a", "r", true));
         List<Member> members = List.of(member("m1#0"), member("m2#0"), member("m3#0"));
         View view = new View(1, "m1#0", List.of("m2#0"), members, List.of());
         for (Member other : members.subList(1, 3)) {
             membership.liveness.heard(other, SECOND);
-            membership.liveness.told(other.id(), new Place("a", "r", true), false, 1);
+            membership.liveness.told(other.id(), new Location("a", "r", true), false, 1);
         }
         assertThat(membership.lacks(view, members.get(0), SECOND)).contains("do not keep a majority");
         assertThat(membership.lacks(view, members.get(0), SECOND)).isNull();
@@ -156,7 +156,7 @@
     @Test
     void whoIsInNoViewIsForgottenAndNoMoreThanSomeAreRemembered() {
         Liveness liveness = new Liveness();
-        View view = Replica.first(List.of(member("m1#0")));
+        View view = Replica.initialView(List.of(member("m1#0")));
         for (int i = 0; i < 3 * Liveness.MOST_OTHERS; i++) {
             liveness.heard(member("x" + i + "#1"), i);
         }
--- a/src/test/java/gorsemast/store/StateWriterTest.java
+++ b/src/test/java/gorsemast/store/StateWriterTest.java
@@ -29,7 +29,7 @@
     }
 
     private void save(long token, boolean keptToo) {
-        writer.save(ReplicaState.fresh("m1", List.of(), true, 0), keptToo, token);
+        writer.save(ReplicaState.initial("m1", List.of(), true, 0), keptToo, token);
     }
 
     private void run() {
--- a/src/test/java/gorsemast/store/TakenNumbersTest.java
+++ b/src/test/java/gorsemast/store/TakenNumbersTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gorsemast.configuration.ContentDigest;
-import gorsemast.peer.Record;
+import gorsemast.peer.PeerMessage;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -20,17 +20,17 @@
         return ContentDigest.of(content.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static byte[] written(TakenNumbers numbers) throws IOException {
+    private static byte[] written(VersionHistory numbers) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         numbers.write(new DataOutputStream(bytes));
         return bytes.toByteArray();
     }
 
-    private static TakenNumbers drawn(Random random, int most) {
-        TakenNumbers numbers = TakenNumbers.NONE;
+    private static VersionHistory drawn(Random random, int most) {
+        VersionHistory numbers = VersionHistory.NONE;
         for (int i = random.nextInt(most); i > 0; i--) {
             long term = random.nextInt(5);
-            long number = random.nextInt(2 * TakenNumbers.MOST);
+            long number = random.nextInt(2 * VersionHistory.MAX_ENTRIES);
             numbers = numbers.with(number, term, digest(number + " of " + term)); // a term has one content for a number
         }
         return numbers;
@@ -40,13 +40,13 @@
     void allOrdersOfMergingComeToTheSame() throws IOException {
         Random random = new Random(5);
         for (int round = 0; round < 20; round++) {
-            TakenNumbers a = drawn(random, 600);
-            TakenNumbers b = drawn(random, 600);
-            TakenNumbers c = drawn(random, 600);
+            VersionHistory a = drawn(random, 600);
+            VersionHistory b = drawn(random, 600);
+            VersionHistory c = drawn(random, 600);
             byte[] one = written(a.merge(b).merge(c));
             assertThat(written(c.merge(a.merge(b)))).isEqualTo(one);
             assertThat(written(b.merge(c).merge(a))).isEqualTo(one);
-            TakenNumbers both = a.merge(b);
+            VersionHistory both = a.merge(b);
             assertThat(both.merge(b)).as("nothing new").isSameAs(both);
             assertThat(written(a.merge(both.since(a)))).as("only what lacks").isEqualTo(written(both));
         }
@@ -54,16 +54,16 @@
 
     @Test
     void theLaterTermHoldsAndTheLowestAreForgotten() {
-        TakenNumbers numbers = TakenNumbers.NONE.with(7, 1, digest("a")).with(7, 2, digest("b"));
+        VersionHistory numbers = VersionHistory.NONE.with(7, 1, digest("a")).with(7, 2, digest("b"));
         assertThat(numbers.digest(7)).isEqualTo(digest("b"));
         assertThat(numbers.with(7, 1, digest("a")).digest(7)).isEqualTo(digest("b"));
-        for (int i = 0; i < TakenNumbers.MOST; i++) {
+        for (int i = 0; i < VersionHistory.MAX_ENTRIES; i++) {
             numbers = numbers.with(100 + i, 2, digest("c"));
         }
-        assertThat(numbers.size()).isEqualTo(TakenNumbers.MOST);
+        assertThat(numbers.size()).isEqualTo(VersionHistory.MAX_ENTRIES);
         assertThat(numbers.digest(7)).isNull();
         assertThat(numbers.forgets(7)).isTrue();
-        assertThat(numbers.forgets(100 + TakenNumbers.MOST)).isFalse();
+        assertThat(numbers.forgets(100 + VersionHistory.MAX_ENTRIES)).isFalse();
     }
 
     @Test
@@ -85,9 +85,9 @@
         ContentDigest digest = digest("body");
         for (CallOutcome outcome : List.of(CallOutcome.values())) {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-            new Record.Answer(5, outcome, 7, 3, digest, null).write(new DataOutputStream(bytes), 0);
-            assertThat(Record.read(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())), 0))
-                    .isEqualTo(new Record.Answer(5, outcome, 7, 3, digest, null));
+            new PeerMessage.StoreAnswer(5, outcome, 7, 3, digest, null).write(new DataOutputStream(bytes), 0);
+            assertThat(PeerMessage.read(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())), 0))
+                    .isEqualTo(new PeerMessage.StoreAnswer(5, outcome, 7, 3, digest, null));
         }
     }
 }
