--- a/src/main/java/anisebend/net/ClientConnection.java
+++ b/src/main/java/anisebend/net/ClientConnection.java
@@ -346,9 +346,9 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         turnedAwayNow = false;
-        if (state == State.BUSY && !decoder.empty()) {
+        if (state == State.BUSY && !decoder.isEmpty()) {
             keepAlive = false;
-        } else if (complete && !decoder.empty()) {
+        } else if (complete && !decoder.isEmpty()) {
             turnAway(HttpResponseStatus.BAD_REQUEST, false);
         } else if (complete) {
             try {
@@ -357,7 +357,7 @@
                 System.err.println("fault: " + e);
                 answer(HttpResponseStatus.BAD_GATEWAY);
             }
-        } else if ((state == State.NEW || state == State.IDLE) && !decoder.empty()) {
+        } else if ((state == State.NEW || state == State.IDLE) && !decoder.isEmpty()) {
             enter(State.READING); // the first bytes of a head
         }
     }
--- a/src/main/java/anisebend/net/Engine.java
+++ b/src/main/java/anisebend/net/Engine.java
@@ -159,7 +159,7 @@
 
                     @Override
                     public void forgotten(String host) {
-                        upstream.forget(host);
+                        upstream.removeNode(host);
                     }
                 });
         this.upstream = new Upstream(
@@ -195,7 +195,7 @@
 
     /** Changes the bound on connections to cache nodes. */
     void limit(int maxConnections) {
-        upstream.limit(maxConnections);
+        upstream.setLimit(maxConnections);
     }
 
     /** Takes over what a new configuration may change in service; throws, and changes nothing, what can't be worked with. */
--- a/src/main/java/gorsemast/dispatch/ServiceDispatcher.java
+++ b/src/main/java/gorsemast/dispatch/ServiceDispatcher.java
@@ -124,7 +124,7 @@
                 upstream.closeIdle(id);
             }
             if (briefing.server(id) == null) {
-                upstream.forget(id);
+                upstream.removeNode(id);
             }
         });
     }
--- a/src/main/java/gorsemast/http/BodyBuffer.java
+++ b/src/main/java/gorsemast/http/BodyBuffer.java
@@ -6,24 +6,24 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The body of a request as its parts come. A short one is one buffer that grows; a long one is a row of blocks, since
- * growing would copy and for a moment hold it twice. The parts themselves are never kept, as each may be a small slice
- * of a large buffer.
+ * Collects the body of a request as its parts arrive. A short body is one buffer that grows; a long one is a list of
+ * blocks, since growing would copy it and for a moment need twice the memory. Parts are always copied, as each may be
+ * a small slice of a large buffer.
  */
 public final class BodyBuffer {
-    /** As much as one part that is written to a node. */
+    /** Size of a block, and of the parts in which bodies are written to servers. */
     public static final int BLOCK_BYTES = 64 << 10;
 
     private final ByteBufAllocator allocator;
     private CompositeByteBuf blocks;
-    /** The last block, not in the row yet; owned here. */
+    /** The last block, not in {@link #blocks} yet. */
     private ByteBuf last;
 
     public BodyBuffer(ByteBufAllocator allocator) {
         this.allocator = allocator;
     }
 
-    /** Copies what is readable; the part stays the caller's. */
+    /** Copies the readable bytes; the caller keeps ownership of the part. */
     public void add(ByteBuf part) {
         while (part.isReadable()) {
             if (last != null && last.readableBytes() == BLOCK_BYTES) {
@@ -31,13 +31,13 @@
                 blocks.addComponent(true, last);
                 last = null;
             }
-            int wanted = Math.min(part.readableBytes(), BLOCK_BYTES - (last == null ? 0 : last.readableBytes()));
-            last = last == null ? allocator.heapBuffer(blocks == null ? wanted : BLOCK_BYTES, BLOCK_BYTES) : last;
-            last.writeBytes(part, wanted);
+            int count = Math.min(part.readableBytes(), BLOCK_BYTES - (last == null ? 0 : last.readableBytes()));
+            last = last == null ? allocator.heapBuffer(blocks == null ? count : BLOCK_BYTES, BLOCK_BYTES) : last;
+            last.writeBytes(part, count);
         }
     }
 
-    /** All of it; whoever takes it owns it, and nothing is left here. */
+    /** Takes the whole body. The caller owns it; this buffer is empty afterwards. */
     public ByteBuf take() {
         ByteBuf all;
         if (blocks == null) {
@@ -50,8 +50,8 @@
         return all;
     }
 
-    /** Lets go of what has come so far. */
+    /** Releases what has been collected. */
     public void release() {
-        take().release(); // the empty buffer takes no notice
+        take().release(); // no effect on the empty buffer
     }
 }
--- a/src/main/java/gorsemast/http/ConnectionState.java
+++ b/src/main/java/gorsemast/http/ConnectionState.java
@@ -4,236 +4,248 @@
 import java.util.TreeSet;
 
 /**
- * Whose is this answer, and may this attempt have run: the rule for one connection to a server, with one attempt on it at
- * a time. Events in, verdicts out; no I/O, no clock, no threads. {@link UpstreamConnection} carries it out.
+ * State machine of one connection to a server with at most one attempt on it: decides to which request a response
+ * belongs, and whether an attempt may have run. No I/O, no clock, no threads; {@link UpstreamConnection} carries out
+ * its decisions.
  *
  * <p>An attempt <em>may have run</em> from the moment at which its last byte may have left this process, or from the
- * first word of its server on it that is not "not run". Only a whole answer that is its own ends an attempt as answered;
- * every other ending closes the connection, so that what comes late reaches nobody. A connection on which anything came
- * that was not due is <em>spoilt</em>: the attempt on it may yet get its own answer, no later one is put on it.
+ * first response of the server to it that does not say "not run". Only a complete response of its own ends an attempt
+ * as answered; every other ending closes the connection, so that a late response reaches nobody. After unexpected
+ * input a connection is <em>not reusable</em>: the attempt on it may still get its own response, but no later attempt
+ * is assigned to it.
  */
 public class ConnectionState {
-    /** So many 1xx may come ahead of an answer; an endless row of them is none. */
+    /** Maximum number of interim (1xx) responses before a response; an endless sequence of them is an error. */
     public static final int MAX_INTERIM = 16;
 
-    /** A connection that has turned away more of what may run once is not used again, as their names are kept. */
-    private static final int MAX_TURNED_AWAY = 32;
+    /** A connection on which more at-most-once calls were refused is not reused, as their ids are kept in memory. */
+    private static final int MAX_REFUSED_IDS = 32;
 
-    /** What is to be done with a part of an answer. */
+    /** How to handle a part of a response. */
     public enum Disposition {
-        /** It is the answer to the attempt on this connection. */
+        /** It belongs to the attempt on this connection. */
         OWN,
-        /** A 1xx ahead of it: skipped. */
+        /** An interim (1xx) response: ignored. */
         INTERIM,
-        /** It belongs to no attempt here: dropped. */
+        /** It belongs to no attempt on this connection: dropped. */
         SURPLUS,
-        /** The connection is of no use any more: the attempt on it ends as lost, nothing more is read. */
+        /** The connection is unusable: the attempt on it ends as lost, nothing more is read. */
         BROKEN
     }
 
-    /** What follows from the end of a read. */
+    /** What to do at the end of a read. */
     public enum ReadOutcome {
-        /** Nothing yet. */
+        /** Wait for more input. */
         MORE,
-        /** The answer is whole: its attempt ends with it. */
+        /** The response is complete: its attempt ends. */
         WHOLE,
-        /** Bytes that belong to nothing: the connection is closed. */
+        /** Unexpected bytes: the connection is closed. */
         CLOSE
     }
 
-    private boolean carries;
-    private boolean left;
-    private boolean early;
-    private boolean passing;
+    private boolean occupied;
+    private boolean lastByteSent;
+    private boolean answeredEarly;
+    private boolean streaming;
     private boolean answering;
-    private boolean whole;
-    private boolean spoilt;
+    private boolean complete;
+    private boolean notReusable;
     private boolean closed;
-    private Disposition reading;
-    private int interim;
-    private String name;
+    private Disposition currentMessage;
+    private int interimCount;
+    private String requestId;
     private boolean used;
-    private boolean once;
-    /** Names of what may run once and was turned away here: a second copy of that word would say so of another try. */
-    private final Set<String> turnedAway = new TreeSet<>();
+    private boolean atMostOnce;
+    /**
+     * Ids of at-most-once calls refused on this connection: a duplicate of the refusal would be taken for the
+     * response to a retry.
+     */
+    private final Set<String> refusedIds = new TreeSet<>();
 
-    /** Whether the next attempt may be put on it. */
+    /** Whether the connection can take an attempt. */
     public boolean isAvailable() {
-        return !carries && !passing && !answering && !spoilt && !closed && reading == null;
+        return !occupied && !streaming && !answering && !notReusable && !closed && currentMessage == null;
     }
 
-    /** Whether the attempt with this name may be: its call was not turned away here, and it has it alone where it must. */
-    public boolean canCarry(String called, boolean alone) {
-        return isAvailable() && !(alone && used) && (called == null || !turnedAway.contains(called));
+    /**
+     * Whether the connection can take this attempt: its call was not refused here, and an exclusive attempt needs an
+     * unused connection.
+     */
+    public boolean canCarry(String id, boolean exclusive) {
+        return isAvailable() && !(exclusive && used) && (id == null || !refusedIds.contains(id));
     }
 
     /**
-     * An attempt is put on it; nothing of it has left yet.
+     * Assigns an attempt, of which nothing has been sent yet.
      *
-     * @param called what its answers name it by; null where they name nothing
-     * @param runsOnce whether its call may run once at most
-     * @param alone whether its answer may name nothing, so that nothing else may be asked on this connection
+     * @param id by which responses identify the attempt; null where they carry no id
+     * @param runsOnce whether its call may run at most once
+     * @param exclusive whether its response may carry no id, so that nothing else may be sent on this connection
      */
-    public void carry(String called, boolean runsOnce, boolean alone) {
-        if (!canCarry(called, alone)) {
-            throw new IllegalStateException("this connection is not free");
+    public void assign(String id, boolean runsOnce, boolean exclusive) {
+        if (!canCarry(id, exclusive)) {
+            throw new IllegalStateException("the connection cannot take this attempt");
         }
-        name = called;
-        once = runsOnce;
+        requestId = id;
+        atMostOnce = runsOnce;
         used = true;
-        spoilt |= alone;
-        carries = true;
-        left = false;
-        early = false;
-        interim = 0;
+        notReusable |= exclusive;
+        occupied = true;
+        lastByteSent = false;
+        answeredEarly = false;
+        interimCount = 0;
     }
 
-    /** The last byte of its request is handed over: from here on it may have run. */
+    /** The last byte of the request is handed over: from here on the attempt may have run. */
     public void lastByteSent() {
-        left = true;
+        lastByteSent = true;
     }
 
-    /** The system did not take it after all, and never will: the connection is closed. */
+    /** The system did not accept the last byte and never will: the connection is closed. */
     public void lastByteNotSent() {
-        left = false;
+        lastByteSent = false;
     }
 
-    /** Whether the attempt on it may have run, where it ends now without a word of its server. */
+    /** Whether the attempt may have run if it ends now without a response. */
     public boolean mayHaveRun() {
-        return left || early;
+        return lastByteSent || answeredEarly;
     }
 
     /**
-     * The head of an answer.
+     * Handles the head of a response.
      *
-     * @param interim whether it is a 1xx, but for 101
+     * @param match to which request it belongs
+     * @param interim whether it is a 1xx other than 101
      * @param notRun whether it says that its request has not run
-     * @param served whether it says that it has, with success
+     * @param served whether it says that the request ran successfully
      */
-    public Disposition head(ResponseMatch whose, boolean interim, boolean notRun, boolean served) {
+    public Disposition head(ResponseMatch match, boolean interim, boolean notRun, boolean served) {
         if (answering || closed) {
-            spoilt = true; // a second answer behind a whole one
+            notReusable = true; // a second response after a complete one
             return Disposition.SURPLUS;
         }
-        if (!carries) {
+        if (!occupied) {
             return Disposition.BROKEN;
         }
         if (interim) {
-            reading = Disposition.INTERIM;
-            return ++this.interim > MAX_INTERIM ? Disposition.BROKEN : reading;
+            currentMessage = Disposition.INTERIM;
+            return ++this.interimCount > MAX_INTERIM ? Disposition.BROKEN : currentMessage;
         }
-        boolean another =
-                !left && served && whose == ResponseMatch.BY_POSITION; // to what was asked here before, most likely
-        if (whose == ResponseMatch.UNIDENTIFIED || another) {
-            early |= whose == ResponseMatch.UNIDENTIFIED && !notRun;
+        // Most likely the response to an earlier request.
+        boolean earlierResponse = !lastByteSent && served && match == ResponseMatch.BY_POSITION;
+        if (match == ResponseMatch.UNIDENTIFIED || earlierResponse) {
+            answeredEarly |= match == ResponseMatch.UNIDENTIFIED && !notRun;
             return Disposition.BROKEN;
         }
-        if (whose == ResponseMatch.OTHER_REQUEST) {
-            spoilt = true;
-            reading = Disposition.SURPLUS;
-            return reading;
+        if (match == ResponseMatch.OTHER_REQUEST) {
+            notReusable = true;
+            currentMessage = Disposition.SURPLUS;
+            return currentMessage;
         }
-        if (!left) {
-            spoilt = true; // answered before all of the request was read: what is withheld is never sent
-            early = !notRun;
+        if (!lastByteSent) {
+            notReusable = true; // answered before the request was sent completely: the withheld byte is never sent
+            answeredEarly = !notRun;
         }
-        if (notRun && once && name != null) {
-            turnedAway.add(name);
-            spoilt |= turnedAway.size() > MAX_TURNED_AWAY;
+        if (notRun && atMostOnce && requestId != null) {
+            refusedIds.add(requestId);
+            notReusable |= refusedIds.size() > MAX_REFUSED_IDS;
         }
         answering = true;
-        reading = Disposition.OWN;
-        return reading;
+        currentMessage = Disposition.OWN;
+        return currentMessage;
     }
 
-    /** Some of an answer's body, or its end. */
+    /** Handles a part of a response's body, or its end. */
     public Disposition part(boolean last) {
-        Disposition now = reading;
-        if (now == null || whole || closed) {
-            spoilt = true;
+        Disposition now = currentMessage;
+        if (now == null || complete || closed) {
+            notReusable = true;
             return Disposition.SURPLUS;
         }
         if (last) {
-            whole = now == Disposition.OWN;
-            reading = null;
+            complete = now == Disposition.OWN;
+            currentMessage = null;
         }
         return now;
     }
 
-    /** The attempt ends with its head as answered; the rest is passed on from here as it comes. */
+    /** The attempt ends as answered with its head; the body is streamed from here on. */
     public void startStreaming() {
-        carries = false;
-        passing = true;
+        occupied = false;
+        streaming = true;
     }
 
-    /** Whether an answer of the attempt, or that is being passed on, has begun and is not concluded. */
+    /** Whether a response has started, also a streamed one, that is not completed. */
     public boolean isAnswering() {
         return answering;
     }
 
-    /** Whether all of it has come. */
-    public boolean isWhole() {
-        return whole;
+    /** Whether the response has arrived completely. */
+    public boolean isComplete() {
+        return complete;
     }
 
     /**
-     * All that came at once has been read.
+     * Handles the end of a read.
      *
-     * @param rest whether bytes of a further message have come
+     * @param rest whether bytes of a further message have arrived
      */
     public ReadOutcome readDone(boolean rest) {
-        if (whole) {
-            spoilt |= rest;
+        if (complete) {
+            notReusable |= rest;
             return ReadOutcome.WHOLE;
         }
-        if (rest && !carries && !passing) {
-            spoilt = true;
+        if (rest && !occupied && !streaming) {
+            notReusable = true;
             return ReadOutcome.CLOSE;
         }
         return ReadOutcome.MORE;
     }
 
     /**
-     * The attempt ends with its whole answer, or what was passed on has ended.
+     * The attempt ends with its complete response, or a streamed response has ended.
      *
-     * @param keeps whether the server keeps the connection
-     * @return whether it may be used again; else it is closed
+     * @param keepAlive whether the server keeps the connection open
+     * @return whether the connection may be reused; else it is closed
      */
-    public boolean completed(boolean keeps) {
-        boolean again = whole && !spoilt && !closed && keeps;
-        carries = false;
-        passing = false;
+    public boolean completed(boolean keepAlive) {
+        boolean reusable = complete && !notReusable && !closed && keepAlive;
+        occupied = false;
+        streaming = false;
         answering = false;
-        whole = false;
-        closed |= !again;
-        return again;
+        complete = false;
+        closed |= !reusable;
+        return reusable;
     }
 
-    /** The attempt ends in any other way, or nobody wants what is passed on. Returns whether it may be used again. */
+    /**
+     * The attempt ends in any other way, or a streamed response is cancelled. Returns whether the connection may be
+     * reused.
+     */
     public boolean abandoned() {
-        carries = false;
-        passing = false;
+        occupied = false;
+        streaming = false;
         answering = false;
-        whole = false;
+        complete = false;
         closed = true;
         return false;
     }
 
-    /** What has come of its answer can't be read: it is none, though it may look whole. */
+    /** The response can't be decoded; it is invalid even if it looks complete. */
     public void unreadable() {
-        whole = false;
+        complete = false;
         closed = true;
     }
 
-    /** It has ended. What was whole by then counts. */
+    /** The connection has been closed. A response that was complete by then is valid. */
     public void connectionClosed() {
         closed = true;
     }
 
-    /** All that it goes by, for a model's table of states. */
+    /** The whole state, as a key for model checking. */
     @Override
     public String toString() {
-        return "" + turnedAway + (carries ? name : "") + carries + left + early + passing + answering + whole + spoilt
-                + closed + reading + interim;
+        return "" + refusedIds + (occupied ? requestId : "") + occupied + lastByteSent + answeredEarly + streaming
+                + answering + complete + notReusable + closed + currentMessage + interimCount;
     }
 }
--- a/src/main/java/gorsemast/http/Dialect.java
+++ b/src/main/java/gorsemast/http/Dialect.java
@@ -5,42 +5,45 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** What the two sides of a connection to a server say to each other above HTTP. */
+/** The conventions above HTTP between this process and its servers. */
 public interface Dialect {
-    /** What an answer says of its attempt. */
+    /** The outcome of an attempt according to its response. */
     Code code(HttpResponse answer);
 
-    /** What it says of other fetches. */
-    default CacheStatus note(HttpResponse answer) {
+    /** What a response says about fetches of other requests. */
+    default CacheStatus cacheStatus(HttpResponse answer) {
         return CacheStatus.NONE;
     }
 
-    /** Whose it is, where this request is out on its connection. */
+    /** To which request a response belongs, given the request in progress on its connection. */
     default ResponseMatch match(HttpRequest request, HttpResponse answer) {
         return ResponseMatch.BY_POSITION;
     }
 
-    /** What answers name this request by; null where they name nothing. */
+    /** The id by which responses identify this request; null where they carry none. */
     default String requestId(HttpRequest request) {
         return null;
     }
 
     /**
-     * Whether its answer may name nothing, where others of this dialect do: it belongs to its request by place, which is
-     * certain only on a connection that carries nothing else, before or after.
+     * Whether the response may lack an id that other responses of this dialect carry. It then belongs to its request
+     * by position, which is certain only on a connection that carries nothing else before or after.
      */
     default boolean needsExclusiveConnection(HttpRequest request) {
         return false;
     }
 
-    /** For how long its server keeps the connection idle behind it, in milliseconds; -1 where it does not say. */
+    /**
+     * For how long the server keeps the connection open after this response, in milliseconds; -1 where it doesn't
+     * say.
+     */
     default long keepAliveMillis(HttpResponse answer) {
         return -1;
     }
 
     /**
-     * Whether servers may forget an idle connection sooner than they say: what may run once then goes on the connection
-     * that was used last, and keeps its last byte back also where it has no body.
+     * Whether servers may drop an idle connection earlier than they say. Requests that may run only once then use the
+     * connection that was used last, and withhold their last byte even without a body.
      */
     default boolean mayDropIdleEarly() {
         return false;
--- a/src/main/java/gorsemast/http/KeepAlive.java
+++ b/src/main/java/gorsemast/http/KeepAlive.java
@@ -1,14 +1,17 @@
 package gorsemast.http;
 
-/** Reads the {@code Keep-Alive} header: for how long a server keeps an idle connection. */
+/** Parses the {@code Keep-Alive} header: for how long a server keeps an idle connection. */
 public final class KeepAlive {
     private static final String TIMEOUT = "timeout";
-    private static final long MILLIS = 1_000;
-    private static final int MOST_DIGITS = 9;
+    private static final long MILLIS_PER_SECOND = 1_000;
+    private static final int MAX_DIGITS = 9;
 
     private KeepAlive() {}
 
-    /** In milliseconds, of {@code timeout=N} or {@code N} in whole seconds; -1 where there is none that can be read. */
+    /**
+     * The timeout in milliseconds, from {@code timeout=N} or {@code N} in whole seconds; -1 if there is none or it is
+     * malformed.
+     */
     public static long timeoutMillis(String header) {
         if (header == null) {
             return -1;
@@ -17,11 +20,11 @@
             int equals = part.indexOf('=');
             String name = equals < 0 ? TIMEOUT : part.substring(0, equals).trim();
             String value = part.substring(equals + 1).trim();
-            boolean number = !value.isEmpty()
-                    && value.length() <= MOST_DIGITS
+            boolean isNumber = !value.isEmpty()
+                    && value.length() <= MAX_DIGITS
                     && value.chars().allMatch(c -> c >= '0' && c <= '9');
-            if (name.equalsIgnoreCase(TIMEOUT) && number) {
-                return MILLIS * Long.parseLong(value);
+            if (name.equalsIgnoreCase(TIMEOUT) && isNumber) {
+                return MILLIS_PER_SECOND * Long.parseLong(value);
             }
         }
         return -1;
--- a/src/main/java/gorsemast/http/NettyLog.java
+++ b/src/main/java/gorsemast/http/NettyLog.java
@@ -5,8 +5,9 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * Netty's warnings and errors, a line each on standard error. Left to itself Netty looks for four logging libraries
- * and sets up the JDK's, a tenth of the CPU time from {@code main} to the first request, for a log that is silent.
+ * Writes Netty's warnings and errors to standard error, one per line. Without it Netty searches for four logging
+ * libraries and sets up the JDK's, which takes a tenth of the CPU time from {@code main} to the first request and
+ * logs nothing.
  */
 public final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1L;
@@ -15,7 +16,7 @@
         super(name);
     }
 
-    /** To be called before any class of Netty is touched. */
+    /** Installs this logger. Must be called before any class of Netty is loaded. */
     public static void install() {
         InternalLoggerFactory.setDefaultFactory(new InternalLoggerFactory() {
             @Override
@@ -25,10 +26,10 @@
         });
     }
 
-    private void line(String text, Object... about) {
+    private void print(String text, Object... arguments) {
         StringBuilder line = new StringBuilder(name()).append(": ").append(text);
-        for (Object one : about) {
-            line.append(' ').append(one);
+        for (Object argument : arguments) {
+            line.append(' ').append(argument);
         }
         System.err.println(line);
     }
@@ -40,27 +41,27 @@
 
     @Override
     public void warn(String text) {
-        line(text);
+        print(text);
     }
 
     @Override
     public void warn(String format, Object about) {
-        line(format, about);
+        print(format, about);
     }
 
     @Override
     public void warn(String format, Object about, Object more) {
-        line(format, about, more);
+        print(format, about, more);
     }
 
     @Override
     public void warn(String format, Object... about) {
-        line(format, about);
+        print(format, about);
     }
 
     @Override
     public void warn(String text, Throwable cause) {
-        line(text, cause);
+        print(text, cause);
     }
 
     @Override
@@ -70,30 +71,30 @@
 
     @Override
     public void error(String text) {
-        line(text);
+        print(text);
     }
 
     @Override
     public void error(String format, Object about) {
-        line(format, about);
+        print(format, about);
     }
 
     @Override
     public void error(String format, Object about, Object more) {
-        line(format, about, more);
+        print(format, about, more);
     }
 
     @Override
     public void error(String format, Object... about) {
-        line(format, about);
+        print(format, about);
     }
 
     @Override
     public void error(String text, Throwable cause) {
-        line(text, cause);
+        print(text, cause);
     }
 
-    // ---- what is of no use to an operator
+    // ---- disabled levels
 
     @Override
     public boolean isTraceEnabled() {
--- a/src/main/java/gorsemast/http/PendingAttempt.java
+++ b/src/main/java/gorsemast/http/PendingAttempt.java
@@ -9,44 +9,47 @@
 import java.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 
-/** One attempt: waiting for a connection, on one, or ended. It ends once. On the event loop. */
+/**
+ * An attempt that waits for a connection, is assigned to one, or has ended; it ends exactly once. Runs on the event
+ * loop.
+ */
 final class PendingAttempt implements Upstream.Attempt {
     final Upstream.Peer node;
     final FullHttpRequest request;
-    /** Whether it may run once at most. */
-    final boolean once;
-    /** Up to how many bytes its answer is kept whole. */
-    final int most;
+    /** Whether the request may run at most once. */
+    final boolean atMostOnce;
+    /** Longest response body that is buffered, in bytes. */
+    final int bufferLimit;
 
     private final Upstream upstream;
-    private final Upstream.AttemptListener ending;
-    private final Traffic passed;
-    private final long begunNanos = System.nanoTime();
-    ScheduledFuture<?> limit;
+    private final Upstream.AttemptListener listener;
+    private final Traffic traffic;
+    private final long startedAtNanos = System.nanoTime();
+    ScheduledFuture<?> timeout;
     UpstreamConnection connection;
-    /** The request's reference has gone to the connection. */
+    /** Whether the connection owns the request's reference. */
     boolean handedOver;
 
     private boolean ended;
-    /** While its answer comes in, it is given up at this time of {@link Upstream#now}. */
-    private long lastAt = Long.MIN_VALUE;
+    /** Latest end of the attempt while its response arrives, as {@link Upstream#now}. */
+    private long deadline = Long.MIN_VALUE;
 
-    private long patience;
+    private long idleTimeoutMicros;
 
     PendingAttempt(
             Upstream upstream,
             Upstream.Peer node,
             FullHttpRequest request,
-            boolean once,
-            int most,
-            Upstream.AttemptListener ending) {
+            boolean atMostOnce,
+            int bufferLimit,
+            Upstream.AttemptListener listener) {
         this.upstream = upstream;
         this.node = node;
         this.request = request;
-        this.once = once;
-        this.most = most;
-        this.ending = ending;
-        this.passed = upstream.passed(node.host());
+        this.atMostOnce = atMostOnce;
+        this.bufferLimit = bufferLimit;
+        this.listener = listener;
+        this.traffic = upstream.trafficOf(node.host());
     }
 
     boolean isEnded() {
@@ -62,62 +65,65 @@
         end(mayHaveRun() ? Code.CANCELLED : Code.NOT_SENT, CacheStatus.NONE, null);
     }
 
-    /** It has waited long enough for a connection: whoever chose the server may choose another. */
-    void tire() {
+    /** The attempt has waited long enough for a connection: the caller may choose another server. */
+    void giveUpWaiting() {
         if (connection == null && upstream.pools.openCount(node.host()) > 0) {
             end(Code.NOT_SENT, CacheStatus.NONE, null);
         }
     }
 
-    /** From now on its time begins anew with each part of its answer, up to then. */
-    void goesOnWhileItComes(long patienceMicros, long lastAtMicros) {
-        patience = patienceMicros;
-        lastAt = lastAtMicros;
+    /** Restarts the timeout with each part of the response, up to a deadline. */
+    void extendWhileReceiving(long timeoutMicros, long deadlineMicros) {
+        idleTimeoutMicros = timeoutMicros;
+        deadline = deadlineMicros;
     }
 
-    /** Its time is over, unless its answer is coming in. */
-    void limited() {
+    /** Ends the attempt, unless its response is still arriving. */
+    void timeoutReached() {
         long now = Upstream.now();
-        long next = connection == null ? now : Math.min(lastAt, connection.lastPartAt() + patience);
+        long next = connection == null ? now : Math.min(deadline, connection.lastReceivedAt() + idleTimeoutMicros);
         if (next > now) {
-            limit = upstream.loop.schedule(this::limited, next - now, TimeUnit.MICROSECONDS);
+            timeout = upstream.loop.schedule(this::timeoutReached, next - now, TimeUnit.MICROSECONDS);
         } else {
             expire();
         }
     }
 
-    /** Its time is over. Waiting for a place at a node that has let others in says nothing of it. */
+    /** Ends the attempt. Waiting for a connection to a node that has accepted others says nothing about the node. */
     private void expire() {
-        boolean waited = connection == null && upstream.pools.openCount(node.host()) > 0;
-        end(mayHaveRun() ? Code.TIMEOUT : waited ? Code.NOT_SENT : Code.CONNECT_FAILED, CacheStatus.NONE, null);
+        boolean hasWaited = connection == null && upstream.pools.openCount(node.host()) > 0;
+        end(mayHaveRun() ? Code.TIMEOUT : hasWaited ? Code.NOT_SENT : Code.CONNECT_FAILED, CacheStatus.NONE, null);
     }
 
-    /** Its answer is too long to be kept: ends here, and the connection goes on. */
-    ResponseSink begin(CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
+    /** Ends the attempt with a response that is too long to be buffered; the connection goes on streaming it. */
+    ResponseSink startStreaming(CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
         ended = true;
-        passed.ended[Code.OK.ordinal()]++;
-        passed.okMicros += TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - begunNanos);
-        limit.cancel(false);
-        return ending.streaming(note, head, length, flow);
+        traffic.ended[Code.OK.ordinal()]++;
+        traffic.okMicros += TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedAtNanos);
+        timeout.cancel(false);
+        return listener.streaming(note, head, length, flow);
     }
 
-    /** Only a whole answer frees the connection; every other ending closes it, before anything follows. */
+    /**
+     * Ends the attempt. Only a complete response frees the connection; every other ending closes it before another
+     * attempt uses it.
+     */
     void end(Code code, CacheStatus note, FullHttpResponse answer) {
         if (ended) {
             return;
         }
         ended = true;
-        passed.ended[code.ordinal()]++;
+        traffic.ended[code.ordinal()]++;
         if (code == Code.OK) {
-            passed.okMicros += TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - begunNanos);
+            traffic.okMicros += TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedAtNanos);
         }
-        limit.cancel(false);
+        timeout.cancel(false);
         if (connection != null) {
-            connection.freed(answer != null, answer != null && HttpUtil.isKeepAlive(answer));
+            connection.attemptEnded(answer != null, answer != null && HttpUtil.isKeepAlive(answer));
         }
         if (!handedOver) {
             request.release();
         }
-        ending.ended(code, note, answer);
+        listener.ended(code, note, answer);
     }
 }
--- a/src/main/java/gorsemast/http/RequestWriter.java
+++ b/src/main/java/gorsemast/http/RequestWriter.java
@@ -13,84 +13,92 @@
 import java.util.function.Supplier;
 
 /**
- * Writes one request at a time to a connection. One that may run once keeps its last byte back for the time that its
- * connection took to come up, a round trip at least, within bounds: a break before it shows that it never ran. The node
- * had closed the kept connection, had died, or let nobody in; whatever ends connections unseen is covered, proxies and
- * address translation on the way too. Costs so much of each such request, and an early answer to half a request is all
- * that it gets. On the event loop.
+ * Writes requests to a connection, one at a time.
+ *
+ * <p>The last byte of a request that may run only once is withheld for as long as the connection took to establish,
+ * which is at least a round trip, within bounds. If the connection breaks before, the request has certainly not run.
+ * This covers every unnoticed end of a connection: the node closed a kept connection, died or refused it, or a proxy
+ * or address translation in between dropped it. It delays each such request by that time, and an early response to
+ * the incomplete request is the only one it gets. Runs on the event loop.
  */
 final class RequestWriter extends HttpRequestEncoder {
-    private static final long LEAST_HOLD_MICROS = 2_000;
-    private static final long MOST_HOLD_MICROS = 20_000;
+    private static final long MIN_HOLD_MICROS = 2_000;
+    private static final long MAX_HOLD_MICROS = 20_000;
 
-    /** Whoever sends. */
-    interface Sending {
-        /** The last byte is about to be handed over. */
-        void leaves();
+    /** Follows the progress of a request. */
+    interface SendListener {
+        /** The last byte is about to be handed over to the system. */
+        void lastByteSending();
 
-        /** The system has taken it, or never will. */
-        void over(boolean left);
+        /**
+         * Writing has ended.
+         *
+         * @param accepted whether the system accepted the last byte
+         */
+        void finished(boolean accepted);
     }
 
     private final Channel channel;
-    private long holdMicros = LEAST_HOLD_MICROS;
+    private long holdMicros = MIN_HOLD_MICROS;
 
     RequestWriter(Channel channel) {
         this.channel = channel;
     }
 
-    /** How long the connection took to come up, in microseconds. */
-    void tookMicros(long took) {
-        holdMicros = Math.max(LEAST_HOLD_MICROS, Math.min(MOST_HOLD_MICROS, took));
+    /** Sets how long the connection took to establish, in microseconds. */
+    void setConnectMicros(long micros) {
+        holdMicros = Math.max(MIN_HOLD_MICROS, Math.min(MAX_HOLD_MICROS, micros));
     }
 
     /**
-     * Takes over the request's reference.
+     * Writes a request and takes over its reference.
      *
-     * @param holds whether its last byte is kept back for a time
-     * @param wanted whether the rest is still wanted when that time is over
+     * @param holds whether its last byte is withheld for a time
+     * @param isStillWanted whether the rest is still to be sent after that time
      */
-    void write(FullHttpRequest request, boolean holds, BooleanSupplier wanted, Sending sending) {
+    void write(FullHttpRequest request, boolean holds, BooleanSupplier isStillWanted, SendListener listener) {
         boolean body = request.content().isReadable();
         if (holds && !body) {
-            holdHead(request, wanted, sending);
+            holdHead(request, isStillWanted, listener);
         } else if (holds || request.content().readableBytes() > BodyBuffer.BLOCK_BYTES) {
-            writeInParts(request, holds, wanted, sending);
+            writeInParts(request, holds, isStillWanted, listener);
         } else {
-            sending.leaves();
-            finish(channel.writeAndFlush(request), sending);
+            listener.lastByteSending();
+            finish(channel.writeAndFlush(request), listener);
         }
     }
 
-    private static void finish(ChannelFuture written, Sending sending) {
-        written.addListener(done -> sending.over(done.isSuccess()));
+    private static void finish(ChannelFuture written, SendListener listener) {
+        written.addListener(done -> listener.finished(done.isSuccess()));
     }
 
     /**
-     * A long body goes out as a row of parts: written as one, all of it would be copied for the socket at once. It is
-     * not written before its last part is, which the node's pace decides; a break until then shows that it never ran.
+     * Writes a long body in parts: as one buffer, all of it would be copied for the socket at once. Writing completes
+     * when the last part has been written, at the node's pace; if the connection breaks before, the request has not
+     * run.
      */
-    private void writeInParts(FullHttpRequest whole, boolean holds, BooleanSupplier wanted, Sending sending) {
+    private void writeInParts(
+            FullHttpRequest whole, boolean holds, BooleanSupplier isStillWanted, SendListener listener) {
         ByteBuf content = whole.content();
         channel.write(new DefaultHttpRequest(whole.protocolVersion(), whole.method(), whole.uri(), whole.headers()));
         while (content.readableBytes() > BodyBuffer.BLOCK_BYTES) {
             channel.write(new DefaultHttpContent(content.readRetainedSlice(BodyBuffer.BLOCK_BYTES)));
         }
         if (!holds) {
-            finish(channel.writeAndFlush(new DefaultLastHttpContent(content)), sending);
+            finish(channel.writeAndFlush(new DefaultLastHttpContent(content)), listener);
             return;
         }
-        ByteBuf most = content.readRetainedSlice(content.readableBytes() - 1);
+        ByteBuf allButLast = content.readRetainedSlice(content.readableBytes() - 1);
         hold(
-                channel.writeAndFlush(new DefaultHttpContent(most)),
+                channel.writeAndFlush(new DefaultHttpContent(allButLast)),
                 content,
                 () -> channel.writeAndFlush(new DefaultLastHttpContent(content)),
-                wanted,
-                sending);
+                isStillWanted,
+                listener);
     }
 
-    /** Of a request without a body the end of its head is kept back: until it comes nobody can have read it. */
-    private void holdHead(FullHttpRequest whole, BooleanSupplier wanted, Sending sending) {
+    /** Withholds the end of the head of a request without a body: until it arrives no server can have parsed it. */
+    private void holdHead(FullHttpRequest whole, BooleanSupplier isStillWanted, SendListener listener) {
         ByteBuf head = channel.alloc().heapBuffer();
         try {
             encodeInitialLine(head, whole);
@@ -98,34 +106,38 @@
         } catch (Exception e) {
             head.release();
             whole.release();
-            sending.over(false);
+            listener.finished(false);
             return;
         }
         whole.release();
         head.writeByte('\r').writeByte('\n');
-        ByteBuf most = head.readRetainedSlice(head.readableBytes() - 1);
-        hold(pass(most), head, () -> pass(head), wanted, sending);
+        ByteBuf allButLast = head.readRetainedSlice(head.readableBytes() - 1);
+        hold(writeRaw(allButLast), head, () -> writeRaw(head), isStillWanted, listener);
     }
 
-    /** Past the encoder, which writes whole messages only. */
-    private ChannelFuture pass(ByteBuf bytes) {
+    /** Writes bytes past the encoder, which accepts only whole messages. */
+    private ChannelFuture writeRaw(ByteBuf bytes) {
         return channel.pipeline().context(this).writeAndFlush(bytes);
     }
 
-    /** What is behind {@code most} follows after a round trip, if it is still wanted; {@code rest} is released if not. */
+    /** Writes the withheld byte after the hold time if the request is still wanted; otherwise releases {@code rest}. */
     private void hold(
-            ChannelFuture most, ByteBuf rest, Supplier<ChannelFuture> last, BooleanSupplier wanted, Sending sending) {
-        most.addListener(done -> {
+            ChannelFuture beforeLast,
+            ByteBuf rest,
+            Supplier<ChannelFuture> last,
+            BooleanSupplier isStillWanted,
+            SendListener listener) {
+        beforeLast.addListener(done -> {
             if (!done.isSuccess()) {
                 rest.release();
-                sending.over(false);
+                listener.finished(false);
                 return;
             }
             channel.eventLoop()
                     .schedule(
                             () -> {
-                                if (wanted.getAsBoolean()) {
-                                    finish(last.get(), sending);
+                                if (isStillWanted.getAsBoolean()) {
+                                    finish(last.get(), listener);
                                 } else {
                                     rest.release();
                                 }
--- a/src/main/java/gorsemast/http/ResponseBuffer.java
+++ b/src/main/java/gorsemast/http/ResponseBuffer.java
@@ -9,26 +9,26 @@
 import io.netty.handler.codec.http.HttpResponse;
 import io.netty.handler.codec.http.HttpUtil;
 
-/** The answer that is being read on one connection: its head, and what is kept of its body. On the event loop. */
+/** The response being read on one connection: its head and the buffered part of its body. Runs on the event loop. */
 final class ResponseBuffer {
-    /** A longer answer breaks the protocol and ends the connection; in bytes. */
-    private static final long MAX_ANSWER = 64L << 20;
+    /** Longer responses violate the protocol and close the connection. */
+    private static final long MAX_RESPONSE_BYTES = 64L << 20;
 
     private HttpResponse head;
     private ByteBuf body;
     private long length;
     private long received;
 
-    /** Its head has come; false where it announces more than any answer has. */
-    boolean begin(HttpResponse start) {
-        head = start;
+    /** Starts a response; false if its announced length exceeds the limit. */
+    boolean start(HttpResponse responseHead) {
+        head = responseHead;
         received = 0;
-        length = HttpUtil.getContentLength(start, -1L);
-        return length <= MAX_ANSWER;
+        length = HttpUtil.getContentLength(responseHead, -1L);
+        return length <= MAX_RESPONSE_BYTES;
     }
 
-    /** Whether the head of one has come that has not been taken yet. */
-    boolean isBegun() {
+    /** Whether a response has started that has not been taken yet. */
+    boolean isStarted() {
         return head != null;
     }
 
@@ -36,23 +36,26 @@
         return head;
     }
 
-    /** Its bytes, -1 where they are not known ahead. */
+    /** Announced length in bytes; -1 where it is unknown. */
     long length() {
         return length;
     }
 
-    /** So many more have come; false where these are more than any answer has. */
-    boolean counts(int bytes) {
+    /** Counts received bytes; false once they exceed the limit. */
+    boolean count(int bytes) {
         received += bytes;
-        return received <= MAX_ANSWER;
+        return received <= MAX_RESPONSE_BYTES;
     }
 
-    /** Whether it has more than so many bytes, as far as is known once its body has {@code begun}. */
-    boolean exceeds(int most, boolean begun) {
-        return received > most || length > most && begun;
+    /**
+     * Whether the body is longer than the limit: by the bytes received, or by the announced length once its body has
+     * started.
+     */
+    boolean isLongerThan(int limit, boolean bodyStarted) {
+        return received > limit || length > limit && bodyStarted;
     }
 
-    /** Whether its end can be told from a cut. */
+    /** Whether a complete response can be distinguished from a truncated one. */
     boolean isFramed() {
         return length >= 0 || HttpUtil.isTransferEncodingChunked(head);
     }
@@ -64,16 +67,16 @@
         }
     }
 
-    /** What has been kept so far goes on. */
-    void giveTo(ResponseSink passage) {
+    /** Passes the buffered part of the body to the sink. */
+    void drainTo(ResponseSink sink) {
         if (body != null) {
-            passage.part(body);
+            sink.part(body);
             body.release();
             body = null;
         }
     }
 
-    /** All of it; the caller's to release, and nothing is left here. */
+    /** Takes the complete response. The caller must release it; this buffer is empty afterwards. */
     FullHttpResponse take() {
         FullHttpResponse whole = new DefaultFullHttpResponse(
                 head.protocolVersion(),
--- a/src/main/java/gorsemast/http/ResponseMatch.java
+++ b/src/main/java/gorsemast/http/ResponseMatch.java
@@ -1,13 +1,13 @@
 package gorsemast.http;
 
-/** To which request an answer belongs, as far as it tells. */
+/** To which request a response belongs. */
 public enum ResponseMatch {
-    /** It names the request that is out on its connection. */
+    /** It carries the id of the request in progress on its connection. */
     BY_ID,
-    /** It names none, as this dialect has no names: it belongs to the request that is out by its place alone. */
+    /** The dialect has no ids: it belongs to the request in progress by its position alone. */
     BY_POSITION,
-    /** It names another request: a surplus answer in the place of the one that is due. */
+    /** It carries the id of another request: a surplus response in place of the expected one. */
     OTHER_REQUEST,
-    /** It should say whose it is, or be stamped, and doesn't: no answer in the protocol, and nothing behind it counts. */
+    /** It lacks a required id or mark: it is no valid response, and nothing after it is accepted. */
     UNIDENTIFIED
 }
--- a/src/main/java/gorsemast/http/ResponseSink.java
+++ b/src/main/java/gorsemast/http/ResponseSink.java
@@ -3,25 +3,25 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Where an answer goes that is too long to be kept: its parts, as they come, and exactly one of {@link #completed} and
- * {@link #aborted} behind them, unless its taker has called it off. On the event loop.
+ * Receives a response that is too long to be buffered: its parts as they arrive, followed by exactly one call of
+ * {@link #completed} or {@link #aborted}, unless the receiver has cancelled it. Called on the event loop.
  */
 public interface ResponseSink {
-    /** The next bytes; only lent. */
+    /** The next bytes; the caller keeps ownership. */
     void part(ByteBuf bytes);
 
-    /** All of it has come. */
+    /** The response is complete. */
     void completed();
 
-    /** The rest will never come; whoever reads it must be able to tell. */
+    /** The rest will never arrive. The final recipient must be able to detect the truncation. */
     void aborted();
 
-    /** The other end: how fast the parts come. */
+    /** Controls the source of the parts. */
     interface FlowControl {
-        /** Asks for no more, or for more again; what is already on its way still comes. */
+        /** Pauses or resumes reading; parts already in transit still arrive. */
         void pause(boolean paused);
 
-        /** Nobody wants the rest. Nothing comes any more. */
+        /** Discards the rest; no more calls follow. */
         void cancel();
     }
 }
--- a/src/main/java/gorsemast/http/RunToCompletionQueue.java
+++ b/src/main/java/gorsemast/http/RunToCompletionQueue.java
@@ -5,27 +5,27 @@
 import java.util.function.Consumer;
 
 /**
- * Keeps a module from being entered while it is running: what its actions bring about waits until the event before it is
- * done. One faulty step does not take the others with it. One thread.
+ * Runs events one at a time to completion, so that a module is not re-entered: actions that an event causes run after
+ * it, and events that these cause run after them. An exception in one step does not stop the others. Single-threaded.
  */
 public final class RunToCompletionQueue {
     private final Queue<Runnable> events = new ArrayDeque<>();
     private final Queue<Runnable> actions = new ArrayDeque<>();
-    private final Consumer<RuntimeException> faults;
-    private boolean busy;
+    private final Consumer<RuntimeException> exceptionHandler;
+    private boolean running;
 
-    /** @param faults told of what a step throws */
-    public RunToCompletionQueue(Consumer<RuntimeException> faults) {
-        this.faults = faults;
+    /** @param exceptionHandler receives exceptions thrown by steps */
+    public RunToCompletionQueue(Consumer<RuntimeException> exceptionHandler) {
+        this.exceptionHandler = exceptionHandler;
     }
 
-    /** Something for the module. */
+    /** Queues an event for the module, and runs the queue unless it is already running. */
     public void event(Runnable event) {
         events.add(event);
-        if (busy) {
+        if (running) {
             return;
         }
-        busy = true;
+        running = true;
         try {
             while (!events.isEmpty()) {
                 step(events.poll());
@@ -34,16 +34,16 @@
                 }
             }
         } finally {
-            busy = false;
+            running = false;
         }
     }
 
-    /** Something that the module wants done, after the event in which it said so. */
+    /** Queues an action that the module requests, to run after the current event. */
     public void action(Runnable action) {
         actions.add(action);
     }
 
-    /** Whether nothing waits. */
+    /** Whether nothing is queued. */
     public boolean idle() {
         return events.isEmpty() && actions.isEmpty();
     }
@@ -52,7 +52,7 @@
         try {
             step.run();
         } catch (RuntimeException e) {
-            faults.accept(e);
+            exceptionHandler.accept(e);
         }
     }
 }
--- a/src/main/java/gorsemast/http/Signals.java
+++ b/src/main/java/gorsemast/http/Signals.java
@@ -3,14 +3,14 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Hears of the signals that a service is sent, where the standard library has no say in them. The one way is
- * {@code sun.misc.Signal} of the supported module jdk.unsupported. It is reached by reflection, as javac warns of
- * each direct use, no annotation can allow one, and warnings are errors here.
+ * Handles SIGHUP, for which the standard library has no API. The only way is {@code sun.misc.Signal} of the supported
+ * module jdk.unsupported. It is called by reflection because javac warns about each direct use, the warning can't be
+ * suppressed, and warnings are errors in this build.
  */
 public final class Signals {
     private Signals() {}
 
-    /** Runs {@code task} at each SIGHUP, on a thread of its own; without this a JVM ends on the first. */
+    /** Runs the task on each SIGHUP, on a separate thread. Without a handler the JVM exits on SIGHUP. */
     public static void onHangup(Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Lets SIGHUP be from now on. Takes a small part of the time that {@link #onHangup} does, so it may stand before all else. */
+    /** Ignores SIGHUP from now on. Much faster than {@link #onHangup}, so it can be called before everything else. */
     public static void ignoreHangup() {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
--- a/src/main/java/gorsemast/http/StrictHttp.java
+++ b/src/main/java/gorsemast/http/StrictHttp.java
@@ -7,22 +7,22 @@
 import io.netty.util.AsciiString;
 
 /**
- * Netty's decoders without their leniency: a message that gives both a length and chunks may hide another one
+ * Netty's HTTP decoders with strict parsing. A message with both a length and chunked encoding may hide another one
  * in its body, and the two sides of a connection must never disagree on where a message ends.
  */
 public final class StrictHttp {
-    private static final int MAX_LINE = 4096;
-    private static final int MAX_HEAD = 8192;
-    /** Bodies come in parts of this size at most; each costs a pass through the pipeline. */
-    private static final int MAX_PART = 32 << 10;
+    private static final int MAX_LINE_BYTES = 4096;
+    private static final int MAX_HEAD_BYTES = 8192;
+    /** Maximum size of a body part; each part costs a pass through the pipeline. */
+    private static final int MAX_PART_BYTES = 32 << 10;
 
     private StrictHttp() {}
 
     private static HttpDecoderConfig config() {
         return new HttpDecoderConfig()
-                .setMaxInitialLineLength(MAX_LINE)
-                .setMaxHeaderSize(MAX_HEAD)
-                .setMaxChunkSize(MAX_PART)
+                .setMaxInitialLineLength(MAX_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEAD_BYTES)
+                .setMaxChunkSize(MAX_PART_BYTES)
                 .setAllowDuplicateContentLengths(false)
                 .setStrictLineParsing(true);
     }
@@ -32,14 +32,14 @@
     }
 
     public static final class Requests extends HttpRequestDecoder {
-        /** Heads of {@code MAX_HEAD} bytes at most. */
+        /** Accepts heads of up to {@link #MAX_HEAD_BYTES}. */
         public Requests() {
             super(config());
         }
 
-        /** @param maxHead bytes that a head may have, and its first line of them as many as it needs */
+        /** @param maxHead maximum size of a head in bytes; its first line may use all of it */
         public Requests(int maxHead) {
-            super(config().setMaxHeaderSize(maxHead).setMaxInitialLineLength(Math.max(MAX_LINE, maxHead)));
+            super(config().setMaxHeaderSize(maxHead).setMaxInitialLineLength(Math.max(MAX_LINE_BYTES, maxHead)));
         }
 
         @Override
@@ -48,27 +48,30 @@
         }
 
         /** Whether all that has come belongs to the messages passed on so far. */
-        public boolean empty() {
+        public boolean isEmpty() {
             return actualReadableBytes() == 0;
         }
     }
 
     public static final class Responses extends HttpResponseDecoder {
-        private boolean answersHead;
+        private boolean isHeadResponse;
 
-        /** For one connection. */
+        /** Creates a decoder for one connection. */
         public Responses() {
             super(config());
         }
 
-        /** Whether what comes next answers a HEAD, so that no body follows whatever length it tells. */
-        void answersHead(boolean does) {
-            answersHead = does;
+        /**
+         * Sets whether the next response answers a HEAD request, so that no body follows whatever its length header
+         * says.
+         */
+        void setHeadResponse(boolean isHead) {
+            isHeadResponse = isHead;
         }
 
         @Override
         protected boolean isContentAlwaysEmpty(HttpMessage message) {
-            return answersHead || super.isContentAlwaysEmpty(message);
+            return isHeadResponse || super.isContentAlwaysEmpty(message);
         }
 
         @Override
@@ -76,11 +79,13 @@
             rejectTwoLengths();
         }
 
-        /** In answers Netty lets a blank end a name, and so takes a line without a colon for a header. */
+        /**
+         * For responses Netty accepts a space as the end of a name, and so takes a line without a colon for a header.
+         */
         @Override
         protected AsciiString splitHeaderName(byte[] line, int start, int length) {
             if (start + length >= line.length || line[start + length] != ':') {
-                throw new IllegalArgumentException("header without a colon behind its name");
+                throw new IllegalArgumentException("header name without a colon");
             }
             return super.splitHeaderName(line, start, length);
         }
--- a/src/main/java/gorsemast/http/Traffic.java
+++ b/src/main/java/gorsemast/http/Traffic.java
@@ -2,20 +2,20 @@
 
 import anisebend.Balancer.Code;
 
-/** What passed on the sockets to one cache node since this process knows it. Counts only; owned by the loop. */
+/** Connection and attempt counts for one node since this process first used it. Owned by the event loop. */
 public final class Traffic {
-    /** Connections that are open or coming up now. */
+    /** Connections that are open now. */
     public int open;
 
     public int opening;
     public long connects;
     public long connectsFailed;
-    /** Microseconds that the connects which succeeded took, summed. */
+    /** Total time of successful connects, in microseconds. */
     public long connectMicros;
-    /** Attempts that found all connections taken and no room for another. */
+    /** Attempts that found all connections in use and no capacity for another. */
     public long noCapacity;
-    /** Attempts ended, by {@link Code}. */
+    /** Ended attempts by {@link Code}. */
     public final long[] ended = new long[Code.values().length];
-    /** Microseconds that attempts answered OK took, summed. */
+    /** Total time of attempts that ended with OK, in microseconds. */
     public long okMicros;
 }
--- a/src/main/java/gorsemast/http/Upstream.java
+++ b/src/main/java/gorsemast/http/Upstream.java
@@ -22,43 +22,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Connections to the cache nodes and the attempts on them: one request a connection at a time, written at
- * most once, and exactly one ending for each attempt. It never sends anything again by itself.
+ * Connections to servers and the attempts on them: one request per connection at a time, written at most once, and
+ * exactly one ending for each attempt. It never retries by itself.
  */
 public final class Upstream {
-    /** An answer is kept whole up to here, so that it can be had elsewhere if it breaks; a longer one is passed on. */
+    /**
+     * Responses up to this size are buffered, so that another server can be asked if one breaks off; longer ones are
+     * streamed.
+     */
     public static final int MAX_BUFFERED_BYTES = 64 << 10;
-    /** A node that sends nothing more of an answer that is being passed on, for this long, has broken it off. */
-    private static final long STALLED_MICROS = 10_000_000;
-    /** StoredVersion connections are closed at this part of the cache nodes' own limit, so as never to race it. */
-    static final int IDLE_PART = 2;
-    /** An attempt that has waited for a connection for this part of its time goes back to whoever chose the node. */
-    private static final int WAITING_PART = 2;
-    /** Whom an attempt goes to. */
+    /** A streamed response without new data for this long is treated as aborted. */
+    private static final long STALL_TIMEOUT_MICROS = 10_000_000;
+    /** Idle connections are closed after this fraction of the servers' own idle timeout, to avoid racing with it. */
+    static final int IDLE_TIMEOUT_DIVISOR = 2;
+    /**
+     * An attempt that has waited for a connection for this fraction of its time is returned to the caller, who may
+     * choose another server.
+     */
+    private static final int WAIT_TIMEOUT_DIVISOR = 2;
+    /** The destination of an attempt. */
     public interface Peer {
-        /** What its connections are kept under; another life of a server has another. */
+        /** The key of its connections; another instance of a server has a different one. */
         String host();
 
-        /** Where it is dialled. */
+        /** The address to connect to. */
         InetSocketAddress dial();
     }
 
-    /** What cache nodes in service speak. */
+    /** The dialect of the older proxy's cache nodes. */
     public static final Dialect CACHE_NODE_DIALECT = new Dialect() {
         @Override
         public Code code(HttpResponse answer) {
             int status = answer.status().code();
-            boolean turnedAway = (status == 503 || status == 504)
+            boolean notExecuted = (status == 503 || status == 504)
                     && "1".equals(answer.headers().get("X-Unprocessed"));
-            return status == 200 ? Code.OK : turnedAway ? Code.FULL : Code.ERROR;
+            return status == 200 ? Code.OK : notExecuted ? Code.FULL : Code.ERROR;
         }
 
         @Override
-        public CacheStatus note(HttpResponse answer) {
-            String word = answer.headers().get("X-Lookup");
-            return word == null
+        public CacheStatus cacheStatus(HttpResponse answer) {
+            String lookup = answer.headers().get("X-Lookup");
+            return lookup == null
                     ? CacheStatus.NONE
-                    : switch (word) {
+                    : switch (lookup) {
                         case "hit" -> CacheStatus.HIT;
                         case "miss" -> CacheStatus.MISS;
                         case "pending" -> CacheStatus.MISS_FETCHING;
@@ -67,28 +73,35 @@
         }
     };
 
-    /** One attempt that is under way. On the event loop. */
+    /** An attempt in progress. Used on the event loop. */
     public interface Attempt {
-        /** Gives it up. What was never written has never run, so it can be told apart from what might have. */
+        /**
+         * Cancels the attempt. The outcome distinguishes attempts that were never written, and so have not run, from
+         * those that may have run.
+         */
         void cancel();
     }
 
-    /** Told once how an attempt ended; {@code answer} is there where one came whole, and is released afterwards. */
+    /**
+     * Receives the outcome of an attempt, exactly once. The answer is null unless a complete one arrived, and is
+     * released after the call.
+     */
     public interface AttemptListener {
-        void ended(Code code, CacheStatus note, FullHttpResponse answer);
+        void ended(Code code, CacheStatus cacheStatus, FullHttpResponse answer);
 
         /**
-         * Instead: the answer is too long to be kept and is passed on from here. Null where nobody wants it.
+         * Called instead if the response is too long to be buffered and is streamed from here on. Returns null to
+         * discard it.
          *
-         * @param length its bytes, -1 where they are not known ahead
+         * @param length its bytes, -1 where they are not known in advance
          */
         default ResponseSink streaming(
-                CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
+                CacheStatus cacheStatus, HttpResponse head, long length, ResponseSink.FlowControl flow) {
             return null;
         }
     }
 
-    /** Whether a cache node, as last started, may be sent anything new. */
+    /** Whether an instance of a server may be sent new requests. */
     public interface Readiness {
         boolean ready(Peer node);
     }
@@ -100,20 +113,20 @@
     final ConnectionPools pools;
     final long idleMillis;
     private final Map<String, Deque<UpstreamConnection>> idle = new HashMap<>();
-    /** Attempts that wait for a connection, in the order in which they came; some may have ended meanwhile. */
+    /** Attempts that wait for a connection, in order of arrival; some may have ended meanwhile. */
     private final Map<String, Deque<PendingAttempt>> waiting = new HashMap<>();
 
     private final Map<String, Traffic> traffic = new HashMap<>();
-    long stalledMicros = STALLED_MICROS;
-    /** Attempts whose last byte the system has taken, since the start. */
+    long stallTimeoutMicros = STALL_TIMEOUT_MICROS;
+    /** Attempts since the start whose last byte the system has accepted. */
     long attemptsWritten;
 
     /**
-     * Connections to peers, for one event loop.
+     * Creates connections to peers for one event loop.
      *
-     * @param readiness whether a peer may be sent anything new
-     * @param maxConnections open or coming up at a time
-     * @param idleMillis after how long the peers close what is idle
+     * @param readiness whether a peer may be sent new requests
+     * @param maxConnections open or connecting at a time
+     * @param idleMillis after how long the peers close idle connections
      */
     public Upstream(
             EventLoop loop,
@@ -127,13 +140,16 @@
         this.dialect = dialect;
         this.readiness = readiness;
         this.pools = new ConnectionPools(maxConnections, new SplittableRandom(seed));
-        this.idleMillis = idleMillis / IDLE_PART;
+        this.idleMillis = idleMillis / IDLE_TIMEOUT_DIVISOR;
         this.bootstrap = client(loop, connectMillis);
     }
 
-    /** After how long a node has broken off an answer that is being passed on; asked for before anything is sent. */
+    /**
+     * Sets after how long without data a streamed response is treated as aborted. Must be called before the first
+     * request.
+     */
     public Upstream stallTimeout(long micros) {
-        stalledMicros = micros;
+        stallTimeoutMicros = micros;
         return this;
     }
 
@@ -141,28 +157,28 @@
         return attemptsWritten;
     }
 
-    /** What passed on the sockets to a node; null where nothing did. */
+    /** Counts for a node; null if it was never used. */
     public Traffic traffic(String host) {
         return traffic.get(host);
     }
 
-    /** Drops the counts of a node that has gone. */
-    public void forget(String host) {
+    /** Drops the counts of a removed node. */
+    public void removeNode(String host) {
         traffic.remove(host);
         pools.removeNode(host);
     }
 
-    /** Changes the bound on connections; those above it go as they fall idle. */
-    public void limit(int connectionsAtMost) {
+    /** Changes the limit on connections; connections above it are closed as they become idle. */
+    public void setLimit(int connectionsAtMost) {
         pools.setLimit(connectionsAtMost);
     }
 
-    /** Bounds the connections to one peer, where many processes share what it lets in. */
+    /** Limits the connections to one peer, where many processes share its capacity. */
     public void limitPeer(String host, int connections) {
         pools.setNodeLimit(host, connections);
     }
 
-    /** What all outgoing connections have in common. */
+    /** The bootstrap shared by all outgoing connections. */
     public static Bootstrap client(EventLoop loop, long connectMillis) {
         return new Bootstrap()
                 .group(loop)
@@ -173,62 +189,73 @@
     }
 
     /**
-     * Starts an attempt that is given up {@code waitMicros} from now; takes over the request's reference. One that
-     * runs {@code once} at most is written with care, so that a dead connection seldom leaves open whether it ran.
+     * Starts an attempt that times out after {@code waitMicros}, and takes over the request's reference. If it may
+     * run only {@code once}, it is written so that a dead connection seldom leaves open whether it ran.
      */
-    public Attempt send(Peer node, FullHttpRequest request, long waitMicros, boolean once, AttemptListener ending) {
-        return send(node, request, waitMicros, once, MAX_BUFFERED_BYTES, ending);
+    public Attempt send(Peer node, FullHttpRequest request, long waitMicros, boolean once, AttemptListener listener) {
+        return send(node, request, waitMicros, once, MAX_BUFFERED_BYTES, listener);
     }
 
-    /** The same, with an answer of up to {@code kept} bytes kept whole. */
+    /** Starts an attempt whose response is buffered up to {@code bufferLimit} bytes. */
     public Attempt send(
-            Peer node, FullHttpRequest request, long waitMicros, boolean once, int kept, AttemptListener ending) {
-        return send(new PendingAttempt(this, node, request, once, kept, ending), waitMicros);
+            Peer node,
+            FullHttpRequest request,
+            long waitMicros,
+            boolean once,
+            int bufferLimit,
+            AttemptListener listener) {
+        return send(new PendingAttempt(this, node, request, once, bufferLimit, listener), waitMicros);
     }
 
     /**
-     * Starts an attempt that may run again, and that is given up when nothing of its answer has come for so long, or after
-     * {@code mostMicros} in all: an answer that is long on its way over a narrow link is no silence.
+     * Starts an attempt that may run again. It ends when nothing of its response has arrived for {@code
+     * idleTimeoutMicros}, or after {@code maxMicros} in all: a long response over a slow link is not a timeout.
      */
     public Attempt sendWithIdleTimeout(
-            Peer node, FullHttpRequest request, long silentMicros, long mostMicros, int kept, AttemptListener ending) {
-        PendingAttempt attempt = new PendingAttempt(this, node, request, false, kept, ending);
-        attempt.goesOnWhileItComes(silentMicros, now() + mostMicros);
-        return send(attempt, silentMicros);
+            Peer node,
+            FullHttpRequest request,
+            long idleTimeoutMicros,
+            long maxMicros,
+            int bufferLimit,
+            AttemptListener listener) {
+        PendingAttempt attempt = new PendingAttempt(this, node, request, false, bufferLimit, listener);
+        attempt.extendWhileReceiving(idleTimeoutMicros, now() + maxMicros);
+        return send(attempt, idleTimeoutMicros);
     }
 
     private Attempt send(PendingAttempt attempt, long waitMicros) {
         Peer node = attempt.node;
-        attempt.limit = loop.schedule(attempt::limited, Math.max(0, waitMicros), TimeUnit.MICROSECONDS);
-        UpstreamConnection connection = takeIdle(node.host(), attempt.once && dialect.mayDropIdleEarly());
+        attempt.timeout = loop.schedule(attempt::timeoutReached, Math.max(0, waitMicros), TimeUnit.MICROSECONDS);
+        UpstreamConnection connection = takeIdle(node.host(), attempt.atMostOnce && dialect.mayDropIdleEarly());
         if (connection != null) {
-            connection.carry(attempt);
+            connection.assign(attempt);
         } else {
             waiting.computeIfAbsent(node.host(), host -> new ArrayDeque<>()).addLast(attempt);
-            loop.schedule(attempt::tire, waitMicros / WAITING_PART, TimeUnit.MICROSECONDS);
-            grow(node);
+            loop.schedule(attempt::giveUpWaiting, waitMicros / WAIT_TIMEOUT_DIVISOR, TimeUnit.MICROSECONDS);
+            openForWaiting(node);
         }
         return attempt;
     }
 
     /**
-     * Opens what the pool allows for those that wait; who can't have a connection is told so. One that fell idle as
-     * another was coming up is taken first: where that other one fails, nothing else would tell who waits of it.
+     * Opens the connections that the pool allows for waiting attempts, and ends those that can't have one. A
+     * connection that became idle while another was connecting is used first: if the other connect fails, nothing
+     * else would notify the attempts waiting for it.
      */
-    void grow(Peer node) {
-        while (idle.containsKey(node.host()) && waits(node.host()) > pools.connectingCount(node.host())) {
-            takeIdle(node.host(), false).carry(next(node.host()));
+    void openForWaiting(Peer node) {
+        while (idle.containsKey(node.host()) && waitingCount(node.host()) > pools.connectingCount(node.host())) {
+            takeIdle(node.host(), false).assign(pollWaiting(node.host()));
         }
-        for (int waits = waits(node.host()); waits > 0; waits = waits(node.host())) {
-            OpenDecision room = pools.decideOpen(now(), node.host(), waits);
+        for (int waitingNow = waitingCount(node.host()); waitingNow > 0; waitingNow = waitingCount(node.host())) {
+            OpenDecision room = pools.decideOpen(now(), node.host(), waitingNow);
             if (room == OpenDecision.NONE && !closeOneIdle()) {
-                PendingAttempt next = next(node.host());
-                passed(node.host()).noCapacity++;
-                next.end(Code.NOT_SENT, CacheStatus.NONE, null); // our own bound says nothing of the node
+                PendingAttempt next = pollWaiting(node.host());
+                trafficOf(node.host()).noCapacity++;
+                next.end(Code.NOT_SENT, CacheStatus.NONE, null); // this process's own limit says nothing about the node
             } else if (room == OpenDecision.WAIT) {
                 long trial = pools.nextTrialAt(node.host()) - now();
                 if (trial > 0) {
-                    loop.schedule(() -> grow(node), trial, TimeUnit.MICROSECONDS);
+                    loop.schedule(() -> openForWaiting(node), trial, TimeUnit.MICROSECONDS);
                 }
                 return;
             } else {
@@ -238,48 +265,52 @@
     }
 
     /**
-     * The longest idle one, null where none is: what a node sends behind an answer has had most time to close it; or the
-     * {@code youngest}, which the node has had least time to forget.
+     * The longest idle connection, null if there is none: its server has had most time to close it. Or the {@code
+     * mostRecent} one, which the server has had least time to drop.
      */
-    private UpstreamConnection takeIdle(String host, boolean youngest) {
-        Deque<UpstreamConnection> kept = idle.get(host);
-        UpstreamConnection connection = kept == null ? null : youngest ? kept.pollLast() : kept.pollFirst();
-        if (kept != null && kept.isEmpty()) {
+    private UpstreamConnection takeIdle(String host, boolean mostRecent) {
+        Deque<UpstreamConnection> idleConnections = idle.get(host);
+        UpstreamConnection connection =
+                idleConnections == null ? null : mostRecent ? idleConnections.pollLast() : idleConnections.pollFirst();
+        if (idleConnections != null && idleConnections.isEmpty()) {
             idle.remove(host);
         }
         return connection;
     }
 
-    int waits(String host) {
-        Deque<PendingAttempt> row = waiting.get(host);
-        if (row == null) {
+    int waitingCount(String host) {
+        Deque<PendingAttempt> queue = waiting.get(host);
+        if (queue == null) {
             return 0;
         }
-        row.removeIf(PendingAttempt::isEnded);
-        if (row.isEmpty()) {
+        queue.removeIf(PendingAttempt::isEnded);
+        if (queue.isEmpty()) {
             waiting.remove(host);
         }
-        return row.size();
+        return queue.size();
     }
 
-    /** Takes out whoever has waited longest; null where nobody does. */
-    PendingAttempt next(String host) {
-        return waits(host) == 0 ? null : waiting.get(host).pollFirst();
+    /** Removes the attempt that has waited longest; null if none waits. */
+    PendingAttempt pollWaiting(String host) {
+        return waitingCount(host) == 0 ? null : waiting.get(host).pollFirst();
     }
 
     static long now() {
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    /** Closes the kept connections to a cache node; attempts that are out go on, those that wait in vain end. */
+    /**
+     * Closes the idle connections to a node. Attempts in progress continue; waiting ones end if the node accepts
+     * nothing new.
+     */
     public void closeIdle(String host) {
-        Deque<UpstreamConnection> kept = idle.remove(host);
-        if (kept != null) {
-            kept.forEach(UpstreamConnection::close);
+        Deque<UpstreamConnection> idleConnections = idle.remove(host);
+        if (idleConnections != null) {
+            idleConnections.forEach(UpstreamConnection::close);
         }
-        Deque<PendingAttempt> row = waiting.get(host);
-        if (row != null) {
-            List.copyOf(row).stream()
+        Deque<PendingAttempt> queue = waiting.get(host);
+        if (queue != null) {
+            List.copyOf(queue).stream()
                     .filter(attempt -> !readiness.ready(attempt.node))
                     .forEach(PendingAttempt::cancel);
         }
@@ -289,38 +320,38 @@
         List.copyOf(idle.keySet()).forEach(this::closeIdle);
     }
 
-    /** At the bound the node with most idle connections gives one up for what is needed now. */
+    /** At the connection limit, closes one connection of the node with most idle ones. */
     private boolean closeOneIdle() {
         String host = pools.nodeWithMostIdle();
-        Deque<UpstreamConnection> kept = host == null ? null : idle.get(host);
-        if (kept == null) {
+        Deque<UpstreamConnection> idleConnections = host == null ? null : idle.get(host);
+        if (idleConnections == null) {
             return false;
         }
-        kept.getFirst().close(); // takes it out, and an empty row too
+        idleConnections.getFirst().close(); // also removes it from the map, and the empty queue too
         return true;
     }
 
-    // ---- what its connections use
+    // ---- used by the connections
 
-    Traffic passed(String host) {
+    Traffic trafficOf(String host) {
         return traffic.computeIfAbsent(host, name -> new Traffic());
     }
 
-    /** It is free, and kept for the next attempt. */
-    void idles(String host, UpstreamConnection connection) {
+    /** Keeps a free connection for the next attempt. */
+    void addIdle(String host, UpstreamConnection connection) {
         idle.computeIfAbsent(host, name -> new ArrayDeque<>()).addLast(connection);
     }
 
-    /** It waits again, before all others. */
-    void waitsFirst(PendingAttempt attempt) {
+    /** Queues an attempt again, ahead of all others. */
+    void requeueFirst(PendingAttempt attempt) {
         waiting.computeIfAbsent(attempt.node.host(), host -> new ArrayDeque<>()).addFirst(attempt);
-        grow(attempt.node);
+        openForWaiting(attempt.node);
     }
 
-    void idlesNoMore(String host, UpstreamConnection connection) {
-        Deque<UpstreamConnection> kept = idle.get(host);
-        if (kept != null && kept.remove(connection) && kept.isEmpty()) {
-            idle.remove(host); // ids of nodes that have gone never come back
+    void removeIdle(String host, UpstreamConnection connection) {
+        Deque<UpstreamConnection> idleConnections = idle.get(host);
+        if (idleConnections != null && idleConnections.remove(connection) && idleConnections.isEmpty()) {
+            idle.remove(host); // ids of removed nodes are never used again
         }
     }
 }
--- a/src/main/java/gorsemast/http/UpstreamConnection.java
+++ b/src/main/java/gorsemast/http/UpstreamConnection.java
@@ -20,48 +20,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to a server; at most one attempt is on it. What comes is judged by {@link ConnectionState}; here that is
- * carried out over a socket. On the event loop.
+ * One connection to a server with at most one attempt on it. {@link ConnectionState} decides how to treat the input;
+ * this class carries it out on a socket. Runs on the event loop.
  */
 final class UpstreamConnection extends SimpleChannelInboundHandler<HttpObject> implements ResponseSink.FlowControl {
     private final Upstream upstream;
     private final Upstream.Peer node;
-    private final Traffic passed;
+    private final Traffic traffic;
     private final ConnectionState state = new ConnectionState();
     private final StrictHttp.Responses decoder = new StrictHttp.Responses();
     private RequestWriter writer;
     private Channel channel;
     private PendingAttempt attempt;
-    private ScheduledFuture<?> idleLimit;
+    private ScheduledFuture<?> idleTimeout;
     private long idleMillis;
-    /** Whether it was kept after an answer: that it is dead then says nothing of the node. */
-    private boolean kept;
+    /** Whether the connection was kept after a response; its failure then says nothing about the node. */
+    private boolean reused;
 
-    private final ResponseBuffer answer = new ResponseBuffer();
-    /** Who takes an answer that is too long to be kept. */
-    private ResponseSink passage;
+    private final ResponseBuffer response = new ResponseBuffer();
+    /** Receives a response that is streamed; null where none is. */
+    private ResponseSink sink;
 
-    private long lastPart;
+    private long lastReceivedAt;
 
     UpstreamConnection(Upstream upstream, Upstream.Peer node) {
         this.upstream = upstream;
         this.node = node;
-        this.passed = upstream.passed(node.host());
+        this.traffic = upstream.trafficOf(node.host());
         this.idleMillis = upstream.idleMillis;
     }
 
-    /** When something of its attempt's answer came last; long ago where nothing has. */
-    long lastPartAt() {
-        return answer.isBegun() ? lastPart : Long.MIN_VALUE / 2;
+    /** When data of the current response last arrived; long ago if nothing has. */
+    long lastReceivedAt() {
+        return response.isStarted() ? lastReceivedAt : Long.MIN_VALUE / 2;
     }
 
-    // ---- coming up
+    // ---- connecting
 
     void open() {
-        passed.connects++;
-        passed.opening++;
+        traffic.connects++;
+        traffic.opening++;
         upstream.pools.connectStarted(Upstream.now(), node.host());
-        long begun = System.nanoTime();
+        long startedAt = System.nanoTime();
         ChannelFuture connecting = upstream.bootstrap
                 .clone()
                 .handler(new ChannelInitializer<Channel>() {
@@ -74,257 +74,268 @@
                 .connect(node.dial());
         channel = connecting.channel();
         connecting.addListener(done -> {
-            passed.opening--;
+            traffic.opening--;
             if (!done.isSuccess()) {
-                // Also where no socket could be made: such a channel never reports that it is closed.
-                passed.connectsFailed++;
-                failed();
+                // Also if no socket could be created: such a channel never reports that it is closed.
+                traffic.connectsFailed++;
+                connectFailed();
                 return;
             }
-            passed.open++;
+            traffic.open++;
             upstream.pools.connected(node.host());
             channel.closeFuture().addListener(closed -> {
-                passed.open--;
+                traffic.open--;
                 upstream.pools.closed(node.host());
-                lost();
-                replace();
+                connectionLost();
+                openReplacement();
             });
-            long took = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - begun);
-            passed.connectMicros += took;
-            writer.tookMicros(took);
-            offer(0);
+            long took = TimeUnit.NANOSECONDS.toMicros(System.nanoTime() - startedAt);
+            traffic.connectMicros += took;
+            writer.setConnectMicros(took);
+            takeWaitingOrIdle(0);
         });
     }
 
-    /** Opens another where one is wanted; who waits for this one would else wait for half of its time. */
-    private void replace() {
+    /**
+     * Opens a replacement if one is needed: attempts waiting for this connection would otherwise wait for half of
+     * their time.
+     */
+    private void openReplacement() {
         if (upstream.readiness.ready(node) && upstream.pools.shouldOpenSpare(Upstream.now(), node.host())) {
             new UpstreamConnection(upstream, node).open();
         }
-        if (upstream.readiness.ready(node) && upstream.waits(node.host()) > 0) {
-            upstream.grow(node);
+        if (upstream.readiness.ready(node) && upstream.waitingCount(node.host()) > 0) {
+            upstream.openForWaiting(node);
         }
     }
 
     /**
-     * A connect that fails while others are open says that the node has no room for more: whoever waits goes on waiting
-     * for one of these. Else one of them has met a node that is not there, and those for whom nothing is coming up need
-     * not wait to meet it too.
+     * Handles a failed connect. If other connections are open, the node has no capacity for more, and waiting
+     * attempts go on waiting for one of these. Otherwise the node is unreachable: one attempt ends with the failure,
+     * and those without a connect in progress end unsent instead of waiting for the same failure.
      */
-    private void failed() {
+    private void connectFailed() {
         if (upstream.pools.connectFailed(Upstream.now(), node.host())) {
-            PendingAttempt met = upstream.next(node.host());
-            if (met != null) {
-                met.end(Code.CONNECT_FAILED, CacheStatus.NONE, null);
+            PendingAttempt failedAttempt = upstream.pollWaiting(node.host());
+            if (failedAttempt != null) {
+                failedAttempt.end(Code.CONNECT_FAILED, CacheStatus.NONE, null);
             }
-            while (upstream.waits(node.host()) > upstream.pools.connectingCount(node.host())) {
-                upstream.next(node.host()).end(Code.NOT_SENT, CacheStatus.NONE, null);
+            while (upstream.waitingCount(node.host()) > upstream.pools.connectingCount(node.host())) {
+                upstream.pollWaiting(node.host()).end(Code.NOT_SENT, CacheStatus.NONE, null);
             }
         }
-        upstream.grow(node);
+        upstream.openForWaiting(node);
     }
 
-    // ---- an attempt
+    // ---- attempts
 
-    /** Whether the attempt on it may have run, as far as is known now. */
+    /** Whether the attempt on this connection may have run. */
     boolean mayHaveRun() {
         return state.mayHaveRun();
     }
 
-    void carry(PendingAttempt next) {
-        stopIdling();
-        String name = upstream.dialect.requestId(next.request);
-        boolean alone = upstream.dialect.needsExclusiveConnection(next.request);
-        if (!state.canCarry(name, alone)) {
+    void assign(PendingAttempt next) {
+        cancelIdleTimeout();
+        String requestId = upstream.dialect.requestId(next.request);
+        boolean exclusive = upstream.dialect.needsExclusiveConnection(next.request);
+        if (!state.canCarry(requestId, exclusive)) {
             close();
-            upstream.waitsFirst(next); // on another one
+            upstream.requeueFirst(next); // on another connection
             return;
         }
         attempt = next;
         next.connection = this;
-        state.carry(name, next.once, alone);
+        state.assign(requestId, next.atMostOnce, exclusive);
         upstream.pools.acquired(Upstream.now(), node.host());
-        // The node may have begun to drain while the connection came up: the drain grace counts from the first byte
-        // sent, and what is withheld has never run.
+        // The node may have begun to drain while the connection was established: the drain grace period counts from
+        // the first byte sent, and a request that is withheld has never run.
         if (!upstream.readiness.ready(node)) {
             next.end(Code.NOT_SENT, CacheStatus.NONE, null);
             return;
         }
         next.handedOver = true;
-        decoder.answersHead(next.request.method().equals(HttpMethod.HEAD));
+        decoder.setHeadResponse(next.request.method().equals(HttpMethod.HEAD));
         boolean body = next.request.content().isReadable();
-        boolean holds = next.once && (body || upstream.dialect.mayDropIdleEarly());
-        writer.write(next.request, holds, () -> attempt == next, new RequestWriter.Sending() {
+        boolean holdsLastByte = next.atMostOnce && (body || upstream.dialect.mayDropIdleEarly());
+        writer.write(next.request, holdsLastByte, () -> attempt == next, new RequestWriter.SendListener() {
             @Override
-            public void leaves() {
+            public void lastByteSending() {
                 state.lastByteSent();
             }
 
             @Override
-            public void over(boolean left) {
-                upstream.attemptsWritten += left ? 1 : 0;
+            public void finished(boolean accepted) {
+                upstream.attemptsWritten += accepted ? 1 : 0;
                 if (attempt != next) {
                     return;
                 }
-                if (left) {
+                if (accepted) {
                     state.lastByteSent();
                 } else {
-                    state.lastByteNotSent(); // the last byte never left, so a server can't have begun it
-                    next.end(unsent(), CacheStatus.NONE, null);
+                    state.lastByteNotSent(); // the last byte was never sent, so no server can have started it
+                    next.end(codeIfUnanswered(), CacheStatus.NONE, null);
                 }
             }
         });
     }
 
-    private Code unsent() {
-        return state.mayHaveRun() ? Code.RESET : kept ? Code.NOT_SENT : Code.CONNECT_FAILED;
+    private Code codeIfUnanswered() {
+        return state.mayHaveRun() ? Code.RESET : reused ? Code.NOT_SENT : Code.CONNECT_FAILED;
     }
 
-    /** Its attempt has ended; {@code answered} with a whole answer, or else it is closed before anything follows. */
-    void freed(boolean answered, boolean keepsAlive) {
+    /**
+     * The attempt has ended. Unless it was {@code answered} with a complete response, the connection is closed before
+     * another attempt uses it.
+     */
+    void attemptEnded(boolean answered, boolean keepsAlive) {
         attempt = null;
         upstream.pools.released(node.host());
         if (answered ? state.completed(keepsAlive) : state.abandoned()) {
-            keep();
+            returnToPool();
         } else {
             close();
         }
     }
 
     /**
-     * Free for the next attempt. One that waits has it, unless another connection is coming up for it: a node that closes
-     * behind its answer is given the time to show it.
+     * Makes the connection available. A waiting attempt gets it, unless another connection is being established for
+     * it: a node that closes after its response is given the time for that.
      */
-    private void keep() {
-        kept = true;
-        offer(upstream.pools.connectingCount(node.host()));
+    private void returnToPool() {
+        reused = true;
+        takeWaitingOrIdle(upstream.pools.connectingCount(node.host()));
     }
 
-    /** Takes on who waits, if it is more than so many others will. */
-    private void offer(int others) {
+    /** Takes a waiting attempt if more wait than other connections will take; otherwise becomes idle. */
+    private void takeWaitingOrIdle(int others) {
         boolean ready = upstream.readiness.ready(node);
         if (!channel.isActive() || !ready) {
             close();
             if (!ready) {
-                upstream.closeIdle(node.host()); // and ends those that wait for it
+                upstream.closeIdle(node.host()); // and ends the attempts that wait for it
             }
-            upstream.grow(node);
+            upstream.openForWaiting(node);
             return;
         }
-        if (upstream.waits(node.host()) > others) {
-            carry(upstream.next(node.host()));
+        if (upstream.waitingCount(node.host()) > others) {
+            assign(upstream.pollWaiting(node.host()));
             return;
         }
-        kept = true;
-        upstream.idles(node.host(), this);
-        idleLimit = upstream.loop.schedule(this::close, idleMillis, TimeUnit.MILLISECONDS);
+        reused = true;
+        upstream.addIdle(node.host(), this);
+        idleTimeout = upstream.loop.schedule(this::close, idleMillis, TimeUnit.MILLISECONDS);
     }
 
-    private void stopIdling() {
-        if (idleLimit != null) {
-            idleLimit.cancel(false);
-            idleLimit = null;
+    private void cancelIdleTimeout() {
+        if (idleTimeout != null) {
+            idleTimeout.cancel(false);
+            idleTimeout = null;
         }
     }
 
     void close() {
-        upstream.idlesNoMore(node.host(), this);
-        stopIdling();
+        upstream.removeIdle(node.host(), this);
+        cancelIdleTimeout();
         state.connectionClosed();
         channel.close();
     }
 
-    /** Nothing more comes that could be trusted. */
-    private void lost() {
-        PendingAttempt out = attempt;
-        if (state.isWhole()) {
+    /** The connection has failed or its input can't be trusted any more. */
+    private void connectionLost() {
+        PendingAttempt current = attempt;
+        if (state.isComplete()) {
             state.connectionClosed();
-            conclude();
+            completeResponse();
         }
         close();
-        answer.clear();
-        if (passage != null) {
-            ResponseSink cut = passage;
-            passage = null;
+        response.clear();
+        if (sink != null) {
+            ResponseSink abortedSink = sink;
+            sink = null;
             upstream.pools.released(node.host());
-            cut.aborted();
+            abortedSink.aborted();
         }
-        if (out != null) {
-            out.end(unsent(), CacheStatus.NONE, null);
+        if (current != null) {
+            current.end(codeIfUnanswered(), CacheStatus.NONE, null);
         }
     }
 
-    // ---- an answer
+    // ---- responses
 
     /**
-     * Takes an answer, which ends its attempt only when the read is done: a second copy or noise may follow at once, and
-     * would answer whatever is sent on this connection next.
+     * Handles a response, which ends its attempt only when the read is done: a duplicate or garbage may follow
+     * immediately, and would be taken for the response to the next request on this connection.
      */
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         if (message instanceof HttpResponse start) {
-            begin(start);
+            responseStarted(start);
         }
         if (message instanceof HttpContent part) {
-            add(part);
+            contentReceived(part);
         }
     }
 
-    private void begin(HttpResponse start) {
-        lastPart = Upstream.now();
-        // One that only the connection's end would mark as whole comes to its end after closeFuture, when its attempt
-        // has
-        // ended as a reset: it might have been cut anywhere.
-        boolean noHttp =
+    private void responseStarted(HttpResponse start) {
+        lastReceivedAt = Upstream.now();
+        // A response that is delimited only by the end of the connection ends after closeFuture, when its attempt has
+        // already ended as a reset: it might have been truncated anywhere.
+        boolean notHttp =
                 start.decoderResult().isFailure() || start.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS);
-        if (noHttp && !state.isAnswering()) {
-            lost();
+        if (notHttp && !state.isAnswering()) {
+            connectionLost();
             return;
         }
         Code code = upstream.dialect.code(start);
-        ConnectionState.Disposition take = state.head(
+        ConnectionState.Disposition disposition = state.head(
                 attempt == null ? ResponseMatch.UNIDENTIFIED : upstream.dialect.match(attempt.request, start),
                 start.status().codeClass() == HttpStatusClass.INFORMATIONAL,
                 !code.mayHaveRun,
                 code == Code.OK);
-        if (take == ConnectionState.Disposition.BROKEN) {
-            lost();
-        } else if (take == ConnectionState.Disposition.OWN && !answer.begin(start)) {
-            lost();
+        if (disposition == ConnectionState.Disposition.BROKEN) {
+            connectionLost();
+        } else if (disposition == ConnectionState.Disposition.OWN && !response.start(start)) {
+            connectionLost();
         }
     }
 
-    private void add(HttpContent part) {
-        ConnectionState.Disposition take = state.part(part instanceof LastHttpContent);
-        if (take == ConnectionState.Disposition.SURPLUS && part.decoderResult().isFailure() && !state.isAnswering()) {
-            lost();
+    private void contentReceived(HttpContent part) {
+        ConnectionState.Disposition disposition = state.part(part instanceof LastHttpContent);
+        if (disposition == ConnectionState.Disposition.SURPLUS
+                && part.decoderResult().isFailure()
+                && !state.isAnswering()) {
+            connectionLost();
         }
-        if (take != ConnectionState.Disposition.OWN) {
+        if (disposition != ConnectionState.Disposition.OWN) {
             return;
         }
-        if (part.decoderResult().isFailure() || !answer.counts(part.content().readableBytes())) {
+        if (part.decoderResult().isFailure() || !response.count(part.content().readableBytes())) {
             state.unreadable();
-            lost();
+            connectionLost();
             return;
         }
-        // Not before its first byte: until then the whole of it can be had elsewhere if this one breaks.
-        int most = attempt == null ? Upstream.MAX_BUFFERED_BYTES : attempt.most;
-        if (passage == null && answer.exceeds(most, part.content().isReadable()) && !(answer.isFramed() && pass())) {
+        // Streaming starts only with the first body byte: until then another server can be asked if this response
+        // breaks off.
+        int bufferLimit = attempt == null ? Upstream.MAX_BUFFERED_BYTES : attempt.bufferLimit;
+        if (sink == null
+                && response.isLongerThan(bufferLimit, part.content().isReadable())
+                && !(response.isFramed() && startStreaming())) {
             state.unreadable();
-            lost(); // no answer of ours, or one whose end could not be told from a cut, or nobody wants it any more
+            // No response of ours, or one whose truncation could not be detected, or nobody wants it any more.
+            connectionLost();
             return;
         }
-        lastPart = Upstream.now();
-        if (passage == null) {
-            answer.add(channel.alloc(), part.content());
+        lastReceivedAt = Upstream.now();
+        if (sink == null) {
+            response.add(channel.alloc(), part.content());
         } else if (part.content().isReadable()) {
-            passage.part(part.content());
+            sink.part(part.content());
         }
-        if (state.isWhole() && passage != null) { // its taker may have left within this part
-            ResponseSink over = passage;
-            passage = null;
+        if (state.isComplete() && sink != null) { // the sink may have cancelled within this part
+            ResponseSink finishedSink = sink;
+            sink = null;
             upstream.pools.released(node.host());
-            over.completed();
+            finishedSink.completed();
         }
     }
 
@@ -332,22 +343,24 @@
     public void channelReadComplete(ChannelHandlerContext ctx) {
         ConnectionState.ReadOutcome done = state.readDone(!decoder.empty());
         if (done == ConnectionState.ReadOutcome.WHOLE) {
-            conclude();
+            completeResponse();
         } else if (done == ConnectionState.ReadOutcome.CLOSE) {
-            lost();
+            connectionLost();
         }
     }
 
-    private void conclude() {
-        FullHttpResponse whole = answer.take();
-        long said = upstream.dialect.keepAliveMillis(whole);
-        idleMillis = said < 0 ? idleMillis : Math.min(upstream.idleMillis, said / Upstream.IDLE_PART);
+    private void completeResponse() {
+        FullHttpResponse whole = response.take();
+        long keepAliveMillis = upstream.dialect.keepAliveMillis(whole);
+        idleMillis = keepAliveMillis < 0
+                ? idleMillis
+                : Math.min(upstream.idleMillis, keepAliveMillis / Upstream.IDLE_TIMEOUT_DIVISOR);
         try {
             if (attempt != null) {
-                attempt.end(upstream.dialect.code(whole), upstream.dialect.note(whole), whole);
-            } else if (state.completed(HttpUtil.isKeepAlive(whole))) { // it was passed on
+                attempt.end(upstream.dialect.code(whole), upstream.dialect.cacheStatus(whole), whole);
+            } else if (state.completed(HttpUtil.isKeepAlive(whole))) { // the response was streamed
                 channel.config().setAutoRead(true);
-                keep();
+                returnToPool();
             } else {
                 close();
             }
@@ -356,60 +369,61 @@
         }
     }
 
-    // ---- an answer that is passed on
+    // ---- streaming
 
-    /** Passes the answer on from here, where it is one and somebody wants it. */
-    private boolean pass() {
-        if (upstream.dialect.code(answer.head()) != Code.OK || attempt == null) {
+    /** Starts streaming the response, if it is successful and wanted. */
+    private boolean startStreaming() {
+        if (upstream.dialect.code(response.head()) != Code.OK || attempt == null) {
             return false;
         }
-        PendingAttempt over = attempt;
+        PendingAttempt finishedAttempt = attempt;
         attempt = null;
         state.startStreaming();
-        passage = over.begin(upstream.dialect.note(answer.head()), answer.head(), answer.length(), this);
-        if (passage == null) {
+        sink = finishedAttempt.startStreaming(
+                upstream.dialect.cacheStatus(response.head()), response.head(), response.length(), this);
+        if (sink == null) {
             upstream.pools.released(node.host());
             return false;
         }
-        lastPart = Upstream.now();
-        watch();
-        answer.giveTo(passage);
+        lastReceivedAt = Upstream.now();
+        scheduleStallCheck();
+        response.drainTo(sink);
         return true;
     }
 
-    private void watch() {
+    private void scheduleStallCheck() {
         upstream.loop.schedule(
                 () -> {
-                    boolean silent = Upstream.now() - lastPart > upstream.stalledMicros;
-                    if (passage != null && channel.config().isAutoRead() && silent) {
-                        lost();
-                    } else if (passage != null) {
-                        watch();
+                    boolean isSilent = Upstream.now() - lastReceivedAt > upstream.stallTimeoutMicros;
+                    if (sink != null && channel.config().isAutoRead() && isSilent) {
+                        connectionLost();
+                    } else if (sink != null) {
+                        scheduleStallCheck();
                     }
                 },
-                upstream.stalledMicros / 2,
+                upstream.stallTimeoutMicros / 2,
                 TimeUnit.MICROSECONDS);
     }
 
     @Override
     public void pause(boolean paused) {
-        lastPart = Upstream.now();
+        lastReceivedAt = Upstream.now();
         channel.config().setAutoRead(!paused);
     }
 
     @Override
     public void cancel() {
-        if (passage != null) {
-            passage = null;
+        if (sink != null) {
+            sink = null;
             upstream.pools.released(node.host());
             state.abandoned();
             close();
-            answer.clear();
+            response.clear();
         }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        lost();
+        connectionLost();
     }
 }
--- a/src/main/java/gorsemast/launcher/Main.java
+++ b/src/main/java/gorsemast/launcher/Main.java
@@ -14,18 +14,21 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 
-/** Starts {@code proxy}, {@code registry} or {@code store} by the settings at {@value Settings#ENVIRONMENT_VARIABLE}. */
+/**
+ * Starts {@code proxy}, {@code registry} or {@code store} with the settings file named by {@value
+ * Settings#ENVIRONMENT_VARIABLE}.
+ */
 public final class Main {
     private Main() {}
 
     /** Runs the named program; any other argument is a usage error. */
     public static void main(String[] args) {
-        Signals.ignoreHangup(); // a change of the file before it is read needs no signal
+        Signals.ignoreHangup(); // a change of the settings before they are read needs no signal
         NettyLog.install();
-        String word = args.length == 1 ? args[0] : "";
-        Log log = new Log(word.isEmpty() ? "launcher" : word);
+        String program = args.length == 1 ? args[0] : "";
+        Log log = new Log(program.isEmpty() ? "launcher" : program);
         String file = System.getenv(Settings.ENVIRONMENT_VARIABLE);
-        if (file == null || !word.equals("proxy") && !word.equals("registry") && !word.equals("store")) {
+        if (file == null || !program.equals("proxy") && !program.equals("registry") && !program.equals("store")) {
             log.warn("usage: " + Settings.ENVIRONMENT_VARIABLE + "=FILE gorsemast proxy|registry|store");
             Log.flush();
             System.exit(2);
@@ -35,32 +38,33 @@
         try {
             long changedAt = new File(file).lastModified();
             Settings settings = Settings.read(Path.of(file));
-            Daemon program =
-                    switch (word) {
+            Daemon daemon =
+                    switch (program) {
                         case "proxy" -> new ProxyProgram(settings);
                         case "registry" -> new RegistryProgram(settings);
                         default -> new StoreProgram(settings);
                     };
-            program.start();
-            // Behind the start, which somebody may be waiting for; heard of by reflection, it takes a tenth of that.
-            Rereading rereading = new Rereading(program, Path.of(file), log);
+            daemon.start();
+            // Registered after the start, which clients may be waiting for: the reflective call takes a tenth of the
+            // startup time.
+            Rereading rereading = new Rereading(daemon, Path.of(file), log);
             Signals.onHangup(rereading);
             if (new File(file).lastModified() != changedAt) {
-                rereading.run(); // its signal came while it was not heard
+                rereading.run(); // the signal arrived before the handler was registered
             }
-            log.info("runs on " + settings.name() + " in " + settings.zone());
-            started.complete(program);
+            log.info("running on " + settings.name() + " in " + settings.zone());
+            started.complete(daemon);
         } catch (IOException | RuntimeException e) {
-            log.warn("can't start: " + e.getMessage());
+            log.warn("cannot start: " + e.getMessage());
             Log.flush();
             started.complete(null);
             System.exit(1);
         } finally {
-            started.complete(null); // without effect where it has started
+            started.complete(null); // no effect if it has started
         }
     }
 
-    /** SIGTERM: the program leaves in order. A class with a name, so that the archive of classes has it. */
+    /** Stops the program in order on SIGTERM. A named class, so that the class data archive contains it. */
     private static final class Leaving extends Thread {
         private final CompletableFuture<Daemon> started;
 
@@ -71,23 +75,23 @@
 
         @Override
         public void run() {
-            Daemon program = started.join();
-            if (program != null) {
-                program.stop();
+            Daemon daemon = started.join();
+            if (daemon != null) {
+                daemon.stop();
                 Log.flush();
-                Runtime.getRuntime().halt(0); // else the signal would be the exit code
+                Runtime.getRuntime().halt(0); // otherwise the exit code would be that of the signal
             }
         }
     }
 
-    /** SIGHUP: the settings are read again. */
-    private record Rereading(Daemon program, Path file, Log log) implements Runnable {
+    /** Reads the settings again on SIGHUP. */
+    private record Rereading(Daemon daemon, Path file, Log log) implements Runnable {
         @Override
         public void run() {
             try {
-                program.reload(Settings.read(file));
+                daemon.reload(Settings.read(file));
             } catch (SettingsException e) {
-                log.warn("keeps its settings: " + e.getMessage());
+                log.warn("reload failed, keeping the previous settings: " + e.getMessage());
             }
         }
     }
--- a/src/main/java/gorsemast/launcher/package-info.java
+++ b/src/main/java/gorsemast/launcher/package-info.java
@@ -1,4 +1,2 @@
-/**
- * The way in: the entry point that starts one of the delivery network's three programs, with its signals.
- */
+/** The entry point that starts one of the delivery network's three programs and handles its signals. */
 package gorsemast.launcher;
--- a/src/main/java/gorsemast/lifecycle/Lifecycle.java
+++ b/src/main/java/gorsemast/lifecycle/Lifecycle.java
@@ -1,23 +1,23 @@
 package gorsemast.lifecycle;
 
 /**
- * Whether a proxy takes clients, and how it gets rid of them.
+ * State machine of a proxy's service: whether it accepts clients, and how it closes their connections.
  *
- * <p><b>Idea.</b> There are three ways to leave service, and each has other clients. <i>Emptying</i>: an operator sends
- * the clients away and the process stays. They are told by the readiness probe and may come back; nothing closes until
- * whoever deals out connections has noticed, as a client whose connection closes before that would only come in again.
- * Then each connection ends with its next answer, and those on which nothing is asked go one after another, so that the
- * neighbours don't get all of the connects in one wave. <i>Handing over</i>: another process already listens at the same
- * address, so connections may end at once. <i>Stopping</i>: nobody else is there, so the proxy serves on until a kill is
- * near. This is the drain of load balancers ("lame duck" in the SRE book, chapter 20), with its times.
+ * <p>There are three ways to leave service. <i>Emptying</i>: an operator drains the clients and the process stays.
+ * They are told by the readiness probe and may return. No connection is closed until the load balancer has noticed,
+ * as a client whose connection closes before that would only reconnect here. Then each connection is closed after its
+ * next response, and idle ones are closed gradually, so that the other proxies don't get all reconnects at once.
+ * <i>Handing over</i>: another process already listens at the same address, so connections may be closed at once.
+ * <i>Stopping</i>: there is no successor, so the proxy serves until shortly before it is killed. This is the drain of
+ * load balancers ("lame duck" in the SRE book, chapter 20), with time limits.
  *
- * <p><b>When it could hurt.</b> A front that asks for readiness less than three times a second sends clients here for
- * longer than {@link #PROBE_REACTION_MICROS}: they are served, and their connection ends with the answer.
+ * <p>A load balancer that probes readiness less than three times a second sends clients here for longer than {@link
+ * #PROBE_REACTION_MICROS}: they are served, and their connection is closed after the response.
  *
- * <p><b>Bounds.</b> O(1) memory and time. Times in microseconds of one clock that never goes back; one thread.
+ * <p>O(1) memory and time. Times in microseconds of one monotonic clock; single-threaded.
  */
 public final class Lifecycle {
-    /** What the proxy is doing. */
+    /** The phase of the proxy's service. */
     public enum Phase {
         STARTING,
         SERVING,
@@ -26,36 +26,36 @@
         STOPPING
     }
 
-    /** The front asks ten times a second and sends nobody new 0.2 s after a no. */
+    /** The load balancer probes ten times a second and sends no new clients 0.2 s after a negative response. */
     public static final long PROBE_REACTION_MICROS = 350_000;
-    /** Idle connections are closed within this time; the last of them long before an operator looks again (4 s). */
+    /** Idle connections are closed within this time, well before an operator checks again (4 s). */
     public static final long IDLE_CLOSE_SPREAD_MICROS = 1_000_000;
 
     private Phase phase = Phase.STARTING;
-    /** From when on connections end; never for as long as clients are welcome. */
-    private long closesFrom = Long.MAX_VALUE;
+    /** When connections start to be closed; {@link Long#MAX_VALUE} while clients are accepted. */
+    private long closingStartsAt = Long.MAX_VALUE;
 
-    /** It can serve from now on; ignored where it is already leaving. */
+    /** The proxy can serve from now on; ignored if it is already leaving service. */
     public void started() {
         if (phase == Phase.STARTING) {
             phase = Phase.SERVING;
         }
     }
 
-    /** Sends the clients away. Returns whether it does; again is harmless. */
+    /** Starts to drain the clients. Returns whether the proxy is draining; repeated calls have no effect. */
     public boolean quiesce(long now) {
         if (phase == Phase.SERVING) {
             phase = Phase.EMPTYING;
-            closesFrom = now + PROBE_REACTION_MICROS;
+            closingStartsAt = now + PROBE_REACTION_MICROS;
         }
         return phase == Phase.EMPTYING;
     }
 
-    /** Takes clients again. Returns whether it does. */
+    /** Accepts clients again. Returns whether the proxy does. */
     public boolean resume() {
         if (phase == Phase.EMPTYING) {
             phase = Phase.SERVING;
-            closesFrom = Long.MAX_VALUE;
+            closingStartsAt = Long.MAX_VALUE;
         }
         return phase == Phase.SERVING;
     }
@@ -63,37 +63,37 @@
     /**
      * The process is to end.
      *
-     * @param successor whether another process takes clients at the same address
-     * @param serveOnMicros for how long it serves on where there is none
+     * @param successor whether another process accepts clients at the same address
+     * @param serveOnMicros for how long to serve on if there is none
      */
     public void terminate(long now, boolean successor, long serveOnMicros) {
-        long from = successor ? now : now + serveOnMicros;
-        // A proxy that has been emptied has no clients who would miss it.
-        closesFrom = phase == Phase.STARTING ? now : Math.min(closesFrom, from);
+        long closingAt = successor ? now : now + serveOnMicros;
+        // A drained proxy has no clients left to serve.
+        closingStartsAt = phase == Phase.STARTING ? now : Math.min(closingStartsAt, closingAt);
         phase = successor ? Phase.HANDING_OVER : Phase.STOPPING;
     }
 
-    /** Another process has come to take clients at the same address: whoever stops need not serve on. */
+    /** Another process has started to accept clients at the same address: a stopping proxy need not serve on. */
     public void successorStarted(long now) {
         if (phase == Phase.STOPPING) {
             phase = Phase.HANDING_OVER;
-            closesFrom = Math.min(closesFrom, now);
+            closingStartsAt = Math.min(closingStartsAt, now);
         }
     }
 
-    /** What it is doing. */
+    /** The current phase. */
     public Phase phase() {
         return phase;
     }
 
-    /** Whether this process takes clients, as an operator or a probe asks it. */
+    /** Whether this process accepts clients, for operators and probes. */
     public boolean ready() {
         return phase == Phase.SERVING;
     }
 
     /**
-     * What a probe at the clients' address is told. Two processes share it during an upgrade, and one of them takes
-     * clients, whichever the probe happens to reach.
+     * Whether clients are accepted at the shared address. Two processes share it during an upgrade and one of them
+     * accepts clients, whichever the probe reaches.
      */
     public boolean addressReady() {
         return phase == Phase.SERVING || phase == Phase.HANDING_OVER;
@@ -104,27 +104,29 @@
         return phase == Phase.HANDING_OVER || phase == Phase.STOPPING;
     }
 
-    /** Whether connections end with their answers, and idle ones go. */
+    /** Whether connections are closed after their responses, and idle ones at once. */
     public boolean isClosing(long now) {
-        return now >= closesFrom;
+        return now >= closingStartsAt;
     }
 
     /** When {@link #isClosing} begins; {@link Long#MAX_VALUE} for never. */
     public long closingStartsAt() {
-        return closesFrom;
+        return closingStartsAt;
     }
 
     /**
-     * How many connections on which nothing is asked are to be closed now.
+     * How many idle connections to close now.
      *
-     * @param free how many there are
-     * @param period until the next such call
+     * @param idleConnections how many there are
+     * @param periodMicros time until the next call
      */
-    public int idleConnectionsToClose(long now, int free, long period) {
+    public int idleConnectionsToClose(long now, int idleConnections, long periodMicros) {
         if (!isClosing(now)) {
             return 0;
         }
-        long left = closesFrom + IDLE_CLOSE_SPREAD_MICROS - now;
-        return phase == Phase.STOPPING || left <= period ? free : (int) Math.ceil((double) free * period / left);
+        long remaining = closingStartsAt + IDLE_CLOSE_SPREAD_MICROS - now;
+        return phase == Phase.STOPPING || remaining <= periodMicros
+                ? idleConnections
+                : (int) Math.ceil((double) idleConnections * periodMicros / remaining);
     }
 }
--- a/src/main/java/gorsemast/lifecycle/package-info.java
+++ b/src/main/java/gorsemast/lifecycle/package-info.java
@@ -1,2 +1,2 @@
-/** When a proxy takes clients and when it sends them away; decided without I/O. */
+/** Decides when a proxy accepts clients and when it drains them; without I/O. */
 package gorsemast.lifecycle;
--- a/src/main/java/gorsemast/logging/Log.java
+++ b/src/main/java/gorsemast/logging/Log.java
@@ -8,29 +8,30 @@
 import org.apache.logging.log4j.Logger;
 
 /**
- * The log of one part: short sentences behind a fixed prefix, a line an event, on standard error. Log4j 2's interface
- * with the simple logger that comes with it: its full engine costs a daemon 0.3 s of a small core at each start.
+ * The log of one component: one line per event with a fixed prefix, on standard error. Uses the Log4j 2 API with its
+ * simple logger: the full engine costs 0.3 s of a small core at each start.
  *
- * <p>Lines are written by a thread of their own, so that no event loop waits for whoever reads them, and from
- * {@link #QUIET_NANOS} after the process's first line on: setting the library up takes a sixth of a start that clients wait
- * for. Who ends the process calls {@link #flush} before. A part that has more to say than {@link #MOST} lines in one second
- * says how many it left out; {@link #WAITING} lines wait at most. A line that had to wait says for how long. Any thread.
+ * <p>A separate thread writes the lines, so that no event loop waits for the reader, from {@link
+ * #STARTUP_DELAY_NANOS} after the process's first line on: initialising the library takes a sixth of the startup
+ * time, for which clients wait. Call {@link #flush} before the process ends. Of more than {@link
+ * #MAX_LINES_PER_SECOND} lines of a component in one second the rest is dropped and counted; at most {@link
+ * #MAX_QUEUED_LINES} are queued. A line that was delayed says for how long. Thread-safe.
  */
 public final class Log {
-    private static final int MOST = 20;
-    private static final int WAITING = 1_000;
-    private static final long SECOND = 1_000_000_000L;
-    private static final long QUIET_NANOS = 2_500_000_000L;
-    private static final long MILLI = 1_000_000L;
-    private static final long LATE_MILLIS = 200;
+    private static final int MAX_LINES_PER_SECOND = 20;
+    private static final int MAX_QUEUED_LINES = 1_000;
+    private static final long SECOND_NANOS = 1_000_000_000L;
+    private static final long STARTUP_DELAY_NANOS = 2_500_000_000L;
+    private static final long MILLI_NANOS = 1_000_000L;
+    private static final long LATE_LINE_MILLIS = 200;
     private static final String FACTORY = "log4j2.loggerContextFactory";
     private static final String LEVEL = "org.apache.logging.log4j.simplelog.level";
 
-    private record Line(Log of, boolean warns, String text, long at) {
-        /** Who reads a line by when it came has to be told where that was much later than what it tells of. */
-        String told() {
-            long millis = (System.nanoTime() - at) / MILLI;
-            return millis < LATE_MILLIS ? text : text + " (" + millis + " ms ago)";
+    private record Line(Log log, boolean isWarning, String text, long createdAtNanos) {
+        /** Appends the delay if it is long, as the time of output would mislead the reader. */
+        String textWithDelay() {
+            long millis = (System.nanoTime() - createdAtNanos) / MILLI_NANOS;
+            return millis < LATE_LINE_MILLIS ? text : text + " (" + millis + " ms ago)";
         }
     }
 
@@ -38,7 +39,7 @@
     private static volatile Thread writer;
 
     static {
-        // Whoever wants another engine of the library's names it; the simple one is silent below errors unless told.
+        // Another Log4j engine can be selected by property; the simple one suppresses levels below ERROR by default.
         if (System.getProperty(FACTORY) == null) {
             System.setProperty(FACTORY, "org.apache.logging.log4j.simple.SimpleLoggerContextFactory");
         }
@@ -47,61 +48,63 @@
         }
     }
 
-    private static volatile Consumer<String> diverted;
+    private static volatile Consumer<String> redirectedTo;
 
     private final String name;
     private final String prefix;
     private Logger logger;
-    private long second;
-    private int lines;
+    private long windowStart;
+    private int linesInWindow;
 
-    /** The log of a part, by its prefix. */
+    /** Creates the log of a component. */
     public Log(String prefix) {
         this.name = prefix;
         this.prefix = prefix + ": ";
     }
 
-    /** Hands all lines to somebody else from now on, at once and by whoever tells them: for programs in virtual time. */
+    /** Passes all lines to a consumer from now on, synchronously: for programs in simulated time. */
     public static void redirect(Consumer<String> to) {
-        diverted = to;
+        redirectedTo = to;
     }
 
-    /** An event that an operator may want to know of. */
+    /** Logs an event that an operator may want to know. */
     public void info(String sentence) {
         line(false, sentence);
     }
 
-    /** Something that should not be. */
+    /** Logs an abnormal condition. */
     public void warn(String sentence) {
         line(true, sentence);
     }
 
-    /** A fault of the program's own, with its place. */
+    /** Logs an unexpected exception with its origin. */
     public void internalError(Throwable e) {
         StackTraceElement[] at = e.getStackTrace();
-        warn("fault " + e + (at.length > 0 ? " at " + at[0] : "") + (at.length > 1 ? " from " + at[1] : ""));
+        warn("unexpected exception " + e + (at.length > 0 ? " at " + at[0] : "")
+                + (at.length > 1 ? " called from " + at[1] : ""));
     }
 
-    private void line(boolean warns, String sentence) {
-        Consumer<String> to = diverted;
+    private void line(boolean isWarning, String sentence) {
+        Consumer<String> to = redirectedTo;
         if (to != null) {
             to.accept(prefix + sentence);
         } else {
-            queue(warns, sentence);
+            queue(isWarning, sentence);
         }
     }
 
-    private synchronized void queue(boolean warns, String sentence) {
+    private synchronized void queue(boolean isWarning, String sentence) {
         long now = System.nanoTime();
-        if (now - second > SECOND) {
-            if (lines > MOST) {
-                LINES.add(new Line(this, true, prefix + "left out " + (lines - MOST) + " lines", now));
+        if (now - windowStart > SECOND_NANOS) {
+            if (linesInWindow > MAX_LINES_PER_SECOND) {
+                LINES.add(new Line(
+                        this, true, prefix + "dropped " + (linesInWindow - MAX_LINES_PER_SECOND) + " lines", now));
             }
-            second = now;
-            lines = 0;
+            windowStart = now;
+            linesInWindow = 0;
         }
-        if (++lines <= MOST && LINES.size() < WAITING) {
-            LINES.add(new Line(this, warns, prefix + sentence, now));
+        if (++linesInWindow <= MAX_LINES_PER_SECOND && LINES.size() < MAX_QUEUED_LINES) {
+            LINES.add(new Line(this, isWarning, prefix + sentence, now));
             wake();
         }
     }
@@ -122,26 +125,26 @@
     }
 
     private static void write() {
-        long from = System.nanoTime() + QUIET_NANOS;
-        for (long left = QUIET_NANOS; left > 0; left = from - System.nanoTime()) {
+        long writeFrom = System.nanoTime() + STARTUP_DELAY_NANOS;
+        for (long left = STARTUP_DELAY_NANOS; left > 0; left = writeFrom - System.nanoTime()) {
             LockSupport.parkNanos(left);
         }
         while (true) {
             flush();
-            LockSupport.park(LINES); // one that comes in between leaves its permit
+            LockSupport.park(LINES); // a line queued in between leaves a permit
         }
     }
 
-    /** Writes what waits, before the process ends. */
+    /** Writes the queued lines, before the process ends. */
     public static void flush() {
         synchronized (LINES) {
             for (Line line = LINES.poll(); line != null; line = LINES.poll()) {
-                Log of = line.of;
+                Log of = line.log;
                 of.logger = of.logger == null ? LogManager.getLogger(of.name) : of.logger;
-                if (line.warns) {
-                    of.logger.warn(line.told());
+                if (line.isWarning) {
+                    of.logger.warn(line.textWithDelay());
                 } else {
-                    of.logger.info(line.told());
+                    of.logger.info(line.textWithDelay());
                 }
             }
         }
--- a/src/main/java/gorsemast/logging/package-info.java
+++ b/src/main/java/gorsemast/logging/package-info.java
@@ -1,2 +1,2 @@
-/** The log of the system's programs: one line an event, with the part's prefix. */
+/** Logging for the programs: one line per event, with the component's prefix. */
 package gorsemast.logging;
--- a/src/main/java/gorsemast/modelcheck/OrderReferee.java
+++ b/src/main/java/gorsemast/modelcheck/OrderReferee.java
@@ -16,7 +16,7 @@
 /**
  * Judges orders by number and content: of the contents that were sent under a number one at most is ever acknowledged,
  * read or told; it is never refused, before or after; another one is refused only where that one is found in the end.
- * Throws {@link StoreWorld.Broken}. One thread.
+ * Throws {@link StoreWorld.Violation}. One thread.
  */
 final class OrderReferee {
     /** A configuration that an operator sends. */
--- a/src/main/java/gorsemast/modelcheck/RegistryWorld.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryWorld.java
@@ -271,7 +271,7 @@
         machines.values().forEach(this::judge);
     }
 
-    /** Throws {@link Broken} where a registry vouches and does not know what it must. */
+    /** Throws {@link Violation} where a registry vouches and does not know what it must. */
     void judge(RegistryMachine machine) {
         if (machine.node == null || machine.frozen || !machine.node.synced()) {
             return;
--- a/src/main/java/gorsemast/proxy/AcceptLimiter.java
+++ b/src/main/java/gorsemast/proxy/AcceptLimiter.java
@@ -5,69 +5,82 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Keeps the connections of one listener within their places: whoever is one too many waits in the system's queue, as an
- * accept without a descriptor would fail again and again. On the listener's event loop.
+ * Limits the open connections of one listener. At the limit it stops reading from the listening socket, so further
+ * connections wait in the system's accept queue: an accept without a free file descriptor would fail again and again.
+ * Runs on the listener's event loop.
  */
 final class AcceptLimiter {
-    /** Told of each change; on the listener's event loop. */
-    interface Watcher {
-        /** One was accepted. */
+    /** Observes changes in the number of connections. Called on the listener's event loop. */
+    interface Observer {
+        /** A connection was accepted. */
         void accepted();
 
-        /** The last place was taken; it may ask somebody to go. */
+        /** The limit was reached. The observer may close an idle connection. */
         void full();
 
-        /** A place came free after so many microseconds without one. */
-        void fullOver(long micros);
+        /**
+         * The number fell below the limit again.
+         *
+         * @param micros how long the limit was reached
+         */
+        void noLongerFull(long micros);
 
-        /** One ended after so many microseconds. */
+        /**
+         * A connection was closed.
+         *
+         * @param micros how long it was open
+         */
         void closed(long micros);
     }
 
-    private final int places;
-    private final Watcher watcher;
+    private final int maxConnections;
+    private final Observer observer;
     private Channel listener;
     private int open;
-    /** When the last place was taken, of {@link System#nanoTime}. */
-    private long fullAt;
+    /** When the limit was reached, as {@link System#nanoTime}. */
+    private long fullSinceNanos;
 
-    AcceptLimiter(int places, Watcher watcher) {
-        this.places = Math.max(1, places);
-        this.watcher = watcher;
+    AcceptLimiter(int maxConnections, Observer observer) {
+        this.maxConnections = Math.max(1, maxConnections);
+        this.observer = observer;
     }
 
-    /** The listener; before the first connection is of interest. */
-    void at(Channel channel) {
-        if (channel.config().getRecvByteBufAllocator() instanceof MaxMessagesRecvByteBufAllocator takes) {
-            takes.maxMessagesPerRead(Math.max(1, Math.min(16, places / 4))); // how many are accepted at once
+    /** Sets the listening channel. Must be called before the first connection arrives. */
+    void attach(Channel channel) {
+        if (channel.config().getRecvByteBufAllocator() instanceof MaxMessagesRecvByteBufAllocator allocator) {
+            // Upper bound on the connections accepted in one pass of the event loop.
+            allocator.maxMessagesPerRead(Math.max(1, Math.min(16, maxConnections / 4)));
         }
         channel.eventLoop().execute(() -> listener = channel);
     }
 
-    /** Whether most places are taken: connections had better end with their answers. */
-    boolean tight() {
-        return 2 * open > places;
+    /**
+     * Whether more than half of the connections are in use, so that connections should be closed after their
+     * responses.
+     */
+    boolean isMostlyFull() {
+        return 2 * open > maxConnections;
     }
 
-    /** A connection has been accepted. */
-    void comes(Channel channel) {
+    /** Counts a connection that has been accepted, until it is closed. */
+    void connectionAccepted(Channel channel) {
         open++;
-        watcher.accepted();
+        observer.accepted();
         long acceptedAt = System.nanoTime();
         channel.closeFuture().addListener(done -> {
             open--;
-            watcher.closed(microsSince(acceptedAt));
+            observer.closed(microsSince(acceptedAt));
             if (listener != null && !listener.config().isAutoRead()) {
-                watcher.fullOver(microsSince(fullAt));
+                observer.noLongerFull(microsSince(fullSinceNanos));
                 listener.config().setAutoRead(true);
             }
         });
-        if (open >= places) {
+        if (open >= maxConnections) {
             if (listener != null && listener.config().isAutoRead()) {
-                fullAt = System.nanoTime();
+                fullSinceNanos = System.nanoTime();
                 listener.config().setAutoRead(false);
             }
-            watcher.full();
+            observer.full();
         }
     }
 
--- a/src/main/java/gorsemast/proxy/ClientConnection.java
+++ b/src/main/java/gorsemast/proxy/ClientConnection.java
@@ -28,58 +28,62 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One client's connection. Requests may be sent ahead; the answers go back in their order. What may be repeated is begun
- * as it comes, up to {@link #AHEAD} at a time; what may not is begun only when nothing is before it, since what stands
- * behind an answer that closes the connection is sent again. All on the event loop.
+ * Handles one client connection, on which requests may be pipelined; responses are sent in the order of the requests.
+ *
+ * <p>Requests that may be repeated are started as they arrive, up to {@link #MAX_PIPELINED} at a time. A request that
+ * may not be repeated is started only when it is the first one, because a client sends requests again that follow a
+ * response with {@code Connection: close}. Runs on the event loop.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter {
-    /** So many requests of one connection are in hand at a time; of more, nothing is read. */
-    private static final int AHEAD = 16;
-    /** A body may take so much longer as this many bytes a second would. */
-    private static final long SLOWEST_BYTES = 64_000;
+    /** Pipelined requests held at a time for one connection; reading pauses at this number. */
+    private static final int MAX_PIPELINED = 16;
+    /** Bodies may arrive no slower than this, in addition to the time allowed for the head. */
+    private static final long MIN_BODY_BYTES_PER_SECOND = 64_000;
 
     static final long SWEEP_MICROS = 250_000;
-    private static final long STALLED_MICROS = 10_000_000;
-    private static final long FORGOTTEN_MICROS = 1_000_000;
+    private static final long STALL_TIMEOUT_MICROS = 10_000_000;
+    private static final long QUIET_MICROS = 1_000_000;
     private static final Log LOG = new Log("proxy");
 
-    /** What the listener does for all connections. */
+    /** Services that the listener provides to its connections. */
     interface Owner {
         long now();
 
-        /** Longest body that is taken, in bytes. */
-        long bodyBytes();
+        /** Longest request body that is accepted, in bytes. */
+        long maxBodyBytes();
 
-        /** From its first byte to the end of its head, in microseconds. */
-        long headMicros();
+        /** Longest time from the first byte of a request to the end of its head, in microseconds. */
+        long headTimeoutMicros();
 
-        long idleMicros();
+        long idleTimeoutMicros();
 
-        /** Whether connections are to end with their answers. */
+        /** Whether connections are to be closed after their responses. */
         boolean isClosing();
 
-        /** Whether sockets are too few to be kept open for what is not needed. */
-        boolean isShort();
+        /** Whether sockets are too scarce to be kept open without need. */
+        boolean hasFewSockets();
 
-        /** Whether the request may be begun beside others of its connection. */
-        boolean repeatable(HttpRequest head);
+        /** Whether the request may be started while others of its connection are in progress. */
+        boolean isRepeatable(HttpRequest head);
 
-        /** Room for so many bytes of bodies; given back with a negative number. */
-        boolean room(long bytes);
+        /**
+         * Reserves memory for request bodies; a negative number releases it. Returns whether the bytes are available.
+         */
+        boolean reserveBodyBytes(long bytes);
 
-        void take(Exchange turn);
+        void handle(Exchange exchange);
 
-        /** Who has a place for requests that take time. */
+        /** Limits the concurrent requests that take time. */
         ConcurrencyLimiter limiter();
 
-        /** One of its places came free. */
-        void released();
+        /** A slot of the limiter was released. */
+        void slotReleased();
 
-        /** Counts what happened on a connection, with how long it took. */
-        void happened(SocketEvent event, long micros);
+        /** Counts an event on a connection together with its duration. */
+        void countEvent(SocketEvent event, long micros);
 
-        /** Counts an answer that no service gave. */
-        void answeredItself(LocalResponse why);
+        /** Counts a response that the edge generated itself. */
+        void countLocalResponse(LocalResponse reason);
 
         void opened(ClientConnection connection);
 
@@ -89,45 +93,47 @@
     final Channel channel;
     final Owner owner;
     private final Deque<ClientRequest> requests = new ArrayDeque<>();
-    private ClientRequest reading;
-    /** When the first byte of what is not a whole head yet came; 0 where nothing has. */
-    private long begun;
+    private ClientRequest receiving;
+    /** When the first byte of an incomplete head arrived; 0 where there is none. */
+    private long messageStartedAt;
 
-    private long since;
-    /** How many requests have begun to come on it. */
-    private long asked;
+    private long lastActivityAt;
+    /** Requests of which at least the head has arrived on this connection. */
+    private long requestCount;
 
-    private final ConnectionSlot place;
+    private final ConnectionSlot slot;
     private boolean closing;
     private boolean broken;
 
     ClientConnection(Channel channel, Owner owner) {
         this.channel = channel;
         this.owner = owner;
-        this.place = new ConnectionSlot(channel.eventLoop(), owner::now, owner.limiter(), owner::released);
+        this.slot = new ConnectionSlot(channel.eventLoop(), owner::now, owner.limiter(), owner::slotReleased);
     }
 
-    // ---- what comes
+    // ---- requests
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        since = owner.now();
+        lastActivityAt = owner.now();
         owner.opened(this);
     }
 
-    /** Looks whether its time is over; called for all of them every {@link #SWEEP_MICROS}. */
-    void sweep(long now) {
-        ClientRequest late = reading;
-        if (late != null && now - late.headAt > owner.headMicros() + late.bytes * 1_000_000L / SLOWEST_BYTES) {
-            refuse(late, LocalResponse.TOO_SLOW);
-        } else if (requests.isEmpty() && begun != 0 && now - begun > owner.headMicros()) {
+    /** Closes the connection if a timeout has passed. Called for all connections every {@link #SWEEP_MICROS}. */
+    void checkTimeouts(long now) {
+        ClientRequest overdue = receiving;
+        if (overdue != null
+                && now - overdue.headReceivedAt
+                        > owner.headTimeoutMicros() + overdue.bodyBytes * 1_000_000L / MIN_BODY_BYTES_PER_SECOND) {
+            rejectAndClose(overdue, LocalResponse.TOO_SLOW);
+        } else if (requests.isEmpty() && messageStartedAt != 0 && now - messageStartedAt > owner.headTimeoutMicros()) {
             close();
-        } else if (requests.isEmpty() && begun == 0 && now - since > owner.idleMicros()) {
+        } else if (requests.isEmpty() && messageStartedAt == 0 && now - lastActivityAt > owner.idleTimeoutMicros()) {
             close();
         } else if (!requests.isEmpty()
                 && requests.peek().streaming
                 && !channel.isWritable()
-                && now - since > STALLED_MICROS) {
+                && now - lastActivityAt > STALL_TIMEOUT_MICROS) {
             close();
         }
     }
@@ -147,15 +153,15 @@
     }
 
     private void read(Object message) {
-        since = owner.now();
+        lastActivityAt = owner.now();
         if (message instanceof HttpRequest head) {
-            begun = 0;
-            asked++;
-            reading = new ClientRequest(this, head);
-            requests.add(reading);
-            LocalResponse problem = problem(head);
-            if (problem != null) {
-                refuse(reading, problem);
+            messageStartedAt = 0;
+            requestCount++;
+            receiving = new ClientRequest(this, head);
+            requests.add(receiving);
+            LocalResponse rejection = findProblem(head);
+            if (rejection != null) {
+                rejectAndClose(receiving, rejection);
                 return;
             }
             if (HttpUtil.is100ContinueExpected(head) && requests.size() == 1) {
@@ -163,35 +169,35 @@
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
-        if (message instanceof HttpContent part && reading != null) {
-            ClientRequest request = reading;
+        if (message instanceof HttpContent part && receiving != null) {
+            ClientRequest request = receiving;
             if (part.decoderResult().isFailure()) {
-                refuse(request, LocalResponse.MALFORMED);
+                rejectAndClose(request, LocalResponse.MALFORMED);
                 return;
             }
-            int more = part.content().readableBytes();
-            if (request.bytes + more > owner.bodyBytes()) {
-                refuse(request, LocalResponse.BODY_TOO_LONG);
+            int added = part.content().readableBytes();
+            if (request.bodyBytes + added > owner.maxBodyBytes()) {
+                rejectAndClose(request, LocalResponse.BODY_TOO_LONG);
                 return;
             }
-            if (more > 0) {
-                if (!owner.room(more)) {
-                    refuse(request, LocalResponse.NO_ROOM_FOR_BODY);
+            if (added > 0) {
+                if (!owner.reserveBodyBytes(added)) {
+                    rejectAndClose(request, LocalResponse.NO_ROOM_FOR_BODY);
                     return;
                 }
-                request.bytes += more;
+                request.bodyBytes += added;
                 request.body.add(part.content());
             }
             if (part instanceof LastHttpContent) {
-                request.whole = true;
-                request.arrival = owner.now();
-                reading = null;
-                start();
+                request.complete = true;
+                request.arrivedAt = owner.now();
+                receiving = null;
+                startRequests();
             }
         }
     }
 
-    private static LocalResponse problem(HttpRequest head) {
+    private static LocalResponse findProblem(HttpRequest head) {
         if (head.decoderResult().isFailure()) {
             return head.decoderResult().cause() instanceof io.netty.handler.codec.http.TooLongHttpHeaderException
                             || head.decoderResult().cause()
@@ -204,23 +210,23 @@
         return oneHost && path && head.protocolVersion().majorVersion() == 1 ? null : LocalResponse.MALFORMED;
     }
 
-    /** An error for what can't be read on; the connection ends with it. */
-    private void refuse(ClientRequest request, LocalResponse why) {
-        HttpResponseStatus status = status(why);
-        owner.answeredItself(why);
+    /** Responds with an error to a request that can't be read further, and closes the connection after it. */
+    private void rejectAndClose(ClientRequest request, LocalResponse reason) {
+        HttpResponseStatus status = status(reason);
+        owner.countLocalResponse(reason);
         closing = true;
-        reading = null;
-        request.whole = true;
+        receiving = null;
+        request.complete = true;
         request.started = true;
         HttpHeaders headers = new DefaultHttpHeaders();
         if (status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)) {
             headers.set(HttpHeaderNames.RETRY_AFTER, "0.5");
         }
-        request.answer(status.code(), headers, Unpooled.EMPTY_BUFFER);
+        request.respond(status.code(), headers, Unpooled.EMPTY_BUFFER);
     }
 
-    private static HttpResponseStatus status(LocalResponse why) {
-        return switch (why) {
+    private static HttpResponseStatus status(LocalResponse reason) {
+        return switch (reason) {
             case TOO_SLOW -> HttpResponseStatus.REQUEST_TIMEOUT;
             case BODY_TOO_LONG -> HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
             case HEAD_TOO_LONG -> HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE;
@@ -229,51 +235,54 @@
         };
     }
 
-    private void start() {
-        boolean first = true;
-        boolean alone = true;
+    private void startRequests() {
+        boolean isFirst = true;
+        boolean mayStartAhead = true;
         for (ClientRequest request : requests.toArray(new ClientRequest[0])) {
-            if (!request.whole || broken) {
+            if (!request.complete || broken) {
                 break;
             }
             if (!request.started) {
-                request.repeatable = owner.repeatable(request.head); // a new configuration may have come since its head
+                // The configuration may have changed since the head arrived.
+                request.repeatable = owner.isRepeatable(request.head);
             }
-            if (!request.started && (first || request.repeatable && alone)) {
+            if (!request.started && (isFirst || request.repeatable && mayStartAhead)) {
                 request.started = true;
-                begin(request);
+                handOver(request);
             }
-            // Behind one that may close the connection, or that waits to be alone, nothing else is begun.
-            alone &= request.repeatable && request.keepAlive;
-            first = false;
+            // No request is started behind one that may close the connection, or that must be the only one in
+            // progress.
+            mayStartAhead &= request.repeatable && request.keepAlive;
+            isFirst = false;
         }
-        channel.config().setAutoRead(requests.size() < AHEAD);
+        channel.config().setAutoRead(requests.size() < MAX_PIPELINED);
     }
 
     /**
-     * Hands a request over once all that has come with it is read: where its client has left already, as it may have while it waited to
-     * be accepted, the end of the connection has come too, and there is nobody to work for.
+     * Hands a request over after everything received with it has been read. If the client disconnected while its
+     * connection waited to be accepted, the end of the connection has been read by then too, and the request is not
+     * processed.
      */
-    private void begin(ClientRequest request) {
+    private void handOver(ClientRequest request) {
         channel.eventLoop().execute(() -> {
             if (!broken && channel.isActive()) {
-                owner.take(request);
+                owner.handle(request);
             }
         });
     }
 
-    /** Asks for a place for requests that take time, as {@link Exchange#acquire} says. */
+    /** Requests a concurrency slot as described at {@link Exchange#acquire}. */
     void acquire(ConcurrencyLimiter.Kind kind, Runnable admitted, Runnable refused) {
-        place.acquire(kind, admitted, refused);
+        slot.acquire(kind, admitted, refused);
     }
 
-    // ---- what goes
+    // ---- responses
 
     boolean isBroken() {
         return broken;
     }
 
-    /** Whether its answer is the one that is written now. */
+    /** Whether the response to this request is the one being written. */
     boolean isFirst(ClientRequest request) {
         return requests.peek() == request;
     }
@@ -283,31 +292,31 @@
         while (!requests.isEmpty() && requests.peek().answered && !broken) {
             ClientRequest request = requests.peek();
             boolean last = false;
-            if (request.ready != null) {
+            if (request.responseHead != null) {
                 last = (closing || !request.keepAlive || owner.isClosing()) && noneStartedBehind();
                 if (last) {
-                    request.ready.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+                    request.responseHead.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
                     closing = true;
                 } else {
-                    request.ready.headers().remove(HttpHeaderNames.CONNECTION);
+                    request.responseHead.headers().remove(HttpHeaderNames.CONNECTION);
                 }
-                channel.write(request.ready);
-                request.ready = null;
-                if (request.content.isReadable()) {
-                    channel.write(new DefaultHttpContent(request.content));
+                channel.write(request.responseHead);
+                request.responseHead = null;
+                if (request.pendingContent.isReadable()) {
+                    channel.write(new DefaultHttpContent(request.pendingContent));
                 } else {
-                    request.content.release();
+                    request.pendingContent.release();
                 }
-                request.content = request.streaming ? channel.alloc().heapBuffer() : Unpooled.EMPTY_BUFFER;
+                request.pendingContent = request.streaming ? channel.alloc().heapBuffer() : Unpooled.EMPTY_BUFFER;
                 wrote = true;
-            } else if (request.content.isReadable()) {
-                channel.write(new DefaultHttpContent(request.content));
-                request.content = channel.alloc().heapBuffer();
+            } else if (request.pendingContent.isReadable()) {
+                channel.write(new DefaultHttpContent(request.pendingContent));
+                request.pendingContent = channel.alloc().heapBuffer();
             }
-            if (request.streaming && request.cut) {
-                request.content.release();
+            if (request.streaming && request.aborted) {
+                request.pendingContent.release();
                 channel.flush();
-                channel.close(); // it must not look complete
+                channel.close(); // an aborted response must not look complete
                 return;
             }
             if (request.streaming && !request.streamed) {
@@ -315,22 +324,22 @@
                 return;
             }
             if (request.streaming) {
-                request.content.release();
+                request.pendingContent.release();
             }
             requests.poll();
-            since = owner.now();
-            long ready = since;
+            lastActivityAt = owner.now();
+            long readyAt = lastActivityAt;
             ChannelFuture written = channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
-            owner.happened(SocketEvent.CLIENT_ANSWERED, ready - request.arrival);
+            owner.countEvent(SocketEvent.CLIENT_ANSWERED, readyAt - request.arrivedAt);
             written.addListener(done -> {
-                owner.happened(SocketEvent.ANSWER_WRITTEN, owner.now() - ready);
+                owner.countEvent(SocketEvent.ANSWER_WRITTEN, owner.now() - readyAt);
                 if (requests.isEmpty()) {
-                    place.leave();
+                    slot.release();
                 }
             });
             wrote = false;
-            if (closing && requests.stream().noneMatch(one -> one.started)) {
-                written.addListener((ChannelFutureListener) done -> part());
+            if (closing && requests.stream().noneMatch(pending -> pending.started)) {
+                written.addListener((ChannelFutureListener) done -> closeAfterLastResponse());
                 return;
             }
         }
@@ -338,7 +347,7 @@
             channel.flush();
         }
         if (!closing && !broken) {
-            start();
+            startRequests();
         }
     }
 
@@ -354,16 +363,17 @@
     }
 
     /**
-     * Closes it behind its last answer. A client that may have sent more, as it has sent ahead before, is told first that nothing more
-     * comes: unread bytes would else reset the connection and lose the answer. Where sockets are short and nothing else can be on its way,
-     * it is closed at once: the system sends on what it has taken, and the socket is free meanwhile.
+     * Closes the connection after its last response. If the client may have sent more, as one that pipelines does,
+     * the output is shut down first: closing with unread input would reset the connection and lose the response.
+     * Where sockets are scarce and nothing else can be in transit, the connection is closed at once: the system still
+     * sends what it has accepted, and the socket is free meanwhile.
      */
-    private void part() {
-        boolean nothingOnItsWay = asked == 1
+    private void closeAfterLastResponse() {
+        boolean nothingInTransit = requestCount == 1
                 && channel.pipeline()
                         .get(gorsemast.http.StrictHttp.Requests.class)
-                        .empty();
-        if (nothingOnItsWay && owner.isShort()) {
+                        .isEmpty();
+        if (nothingInTransit && owner.hasFewSockets()) {
             channel.close();
         } else if (channel instanceof DuplexChannel duplex && channel.isActive()) {
             duplex.shutdownOutput().addListener(done -> channel.eventLoop()
@@ -378,18 +388,20 @@
         }
     }
 
-    /** Whether nothing is asked on it, nor begun to be, and the last answer has left. */
-    boolean idle() {
+    /** Whether no request is in progress or partly received, and the last response has been sent. */
+    boolean isIdle() {
         ChannelOutboundBuffer waiting = channel.unsafe().outboundBuffer();
-        return requests.isEmpty() && begun == 0 && (waiting == null || waiting.totalPendingWriteBytes() == 0);
+        return requests.isEmpty()
+                && messageStartedAt == 0
+                && (waiting == null || waiting.totalPendingWriteBytes() == 0);
     }
 
-    /** Whether that has been so for long enough that nothing is on its way to it. */
-    boolean forgotten(long now) {
-        return idle() && now - since > FORGOTTEN_MICROS;
+    /** Whether the connection has been idle for so long that no request is likely to be in transit. */
+    boolean isQuiet(long now) {
+        return isIdle() && now - lastActivityAt > QUIET_MICROS;
     }
 
-    /** Ends it. */
+    /** Closes the connection. */
     void close() {
         channel.close();
     }
@@ -398,43 +410,44 @@
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
         ClientRequest first = requests.peek();
         if (first != null && first.streaming && !first.streamed && channel.isWritable()) {
-            since = owner.now();
-            first.flow.pause(false);
+            lastActivityAt = owner.now();
+            first.flowControl.pause(false);
         }
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        if (reading == null && requests.isEmpty() && begun == 0 && !closing) {
-            begun = decoderHasBytes(ctx) ? owner.now() : 0;
+        if (receiving == null && requests.isEmpty() && messageStartedAt == 0 && !closing) {
+            messageStartedAt = decoderHasBytes(ctx) ? owner.now() : 0;
         }
     }
 
     private static boolean decoderHasBytes(ChannelHandlerContext ctx) {
-        return !ctx.pipeline().get(gorsemast.http.StrictHttp.Requests.class).empty();
+        return !ctx.pipeline().get(gorsemast.http.StrictHttp.Requests.class).isEmpty();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         broken = true;
         owner.closed(this);
-        place.leave();
-        if (asked == 0) {
-            owner.happened(SocketEvent.CLIENT_LEFT_UNASKED, 0);
+        slot.release();
+        if (requestCount == 0) {
+            owner.countEvent(SocketEvent.CLIENT_LEFT_UNASKED, 0);
         }
         for (ClientRequest request : requests) {
             if (!request.answered) {
                 request.answered = true;
-                owner.happened(SocketEvent.CLIENT_LEFT_UNANSWERED, request.whole ? owner.now() - request.arrival : 0);
+                owner.countEvent(
+                        SocketEvent.CLIENT_LEFT_UNANSWERED, request.complete ? owner.now() - request.arrivedAt : 0);
                 if (request.started) {
-                    request.leave.run();
+                    request.disconnectTask.run();
                 }
-                request.drop();
-            } else if (request.streaming && !request.streamed && !request.cut) {
-                request.flow.cancel();
+                request.releaseBody();
+            } else if (request.streaming && !request.streamed && !request.aborted) {
+                request.flowControl.cancel();
             }
-            if (request.content.refCnt() > 0) {
-                request.content.release();
+            if (request.pendingContent.refCnt() > 0) {
+                request.pendingContent.release();
             }
         }
         requests.clear();
--- a/src/main/java/gorsemast/proxy/ClientRequest.java
+++ b/src/main/java/gorsemast/proxy/ClientRequest.java
@@ -18,38 +18,42 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * One request on a client's connection, and its answer until the ones before it have left. On the event loop.
+ * A request on a client connection, and its response until the responses before it have been sent. Runs on the event
+ * loop.
  */
 final class ClientRequest implements Exchange, ResponseSink {
     private final ClientConnection connection;
     final HttpRequest head;
     final BodyBuffer body;
     final boolean keepAlive;
-    /** As the configuration has it when it is begun; until then as it had it last. */
+    /**
+     * By the configuration at the time when the request is started; before that, by the configuration at the last
+     * check.
+     */
     boolean repeatable;
 
-    long bytes;
-    long headAt;
-    long arrival;
-    boolean whole;
+    long bodyBytes;
+    long headReceivedAt;
+    long arrivedAt;
+    boolean complete;
     boolean started;
-    boolean taken;
+    boolean bodyTaken;
     boolean answered;
     boolean streaming;
     boolean streamed;
-    boolean cut;
-    HttpResponse ready;
-    ByteBuf content = Unpooled.EMPTY_BUFFER;
-    FlowControl flow;
-    Runnable leave = () -> {};
+    boolean aborted;
+    HttpResponse responseHead;
+    ByteBuf pendingContent = Unpooled.EMPTY_BUFFER;
+    FlowControl flowControl;
+    Runnable disconnectTask = () -> {};
 
     ClientRequest(ClientConnection connection, HttpRequest head) {
         this.connection = connection;
         this.head = head;
         this.body = new BodyBuffer(connection.channel.alloc());
         this.keepAlive = HttpUtil.isKeepAlive(head);
-        this.repeatable = connection.owner.repeatable(head);
-        this.headAt = connection.owner.now();
+        this.repeatable = connection.owner.isRepeatable(head);
+        this.headReceivedAt = connection.owner.now();
     }
 
     @Override
@@ -69,18 +73,18 @@
 
     @Override
     public ByteBuf takeBody() {
-        taken = true;
+        bodyTaken = true;
         return body.take();
     }
 
     @Override
-    public long arrival() {
-        return arrival;
+    public long arrivedAt() {
+        return arrivedAt;
     }
 
     @Override
-    public void onLeave(Runnable task) {
-        leave = task;
+    public void onDisconnect(Runnable task) {
+        disconnectTask = task;
     }
 
     @Override
@@ -89,49 +93,49 @@
     }
 
     @Override
-    public void answer(int status, HttpHeaders headers, ByteBuf bytesToSend) {
+    public void respond(int status, HttpHeaders headers, ByteBuf bytesToSend) {
         if (answered || connection.isBroken()) {
             bytesToSend.release();
             return;
         }
         answered = true;
-        drop();
-        content = bytesToSend;
-        ready = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
+        releaseBody();
+        pendingContent = bytesToSend;
+        responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), headers);
         if (status != HttpResponseStatus.NOT_MODIFIED.code()) {
-            headers.set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
+            headers.set(HttpHeaderNames.CONTENT_LENGTH, pendingContent.readableBytes());
         }
         connection.flush();
     }
 
     @Override
-    public ResponseSink begin(HttpResponse start, HttpHeaders headers, long length, FlowControl source) {
+    public ResponseSink startStreaming(HttpResponse start, HttpHeaders headers, long length, FlowControl source) {
         if (answered || connection.isBroken()) {
             return null;
         }
         answered = true;
         streaming = true;
-        flow = source;
-        drop();
-        ready = new DefaultHttpResponse(HttpVersion.HTTP_1_1, start.status(), headers);
+        flowControl = source;
+        releaseBody();
+        responseHead = new DefaultHttpResponse(HttpVersion.HTTP_1_1, start.status(), headers);
         if (length >= 0) {
             headers.set(HttpHeaderNames.CONTENT_LENGTH, length);
         } else {
             headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        content = connection.channel.alloc().heapBuffer();
+        pendingContent = connection.channel.alloc().heapBuffer();
         connection.flush();
         return this;
     }
 
     @Override
     public void part(ByteBuf part) {
-        if (connection.isFirst(this) && ready == null) {
+        if (connection.isFirst(this) && responseHead == null) {
             connection.channel.writeAndFlush(new DefaultHttpContent(part.retainedDuplicate()));
         } else {
-            content.writeBytes(part);
+            pendingContent.writeBytes(part);
         }
-        flow.pause(!connection.channel.isWritable() || content.readableBytes() > BodyBuffer.BLOCK_BYTES);
+        flowControl.pause(!connection.channel.isWritable() || pendingContent.readableBytes() > BodyBuffer.BLOCK_BYTES);
     }
 
     @Override
@@ -142,17 +146,17 @@
 
     @Override
     public void aborted() {
-        cut = true;
+        aborted = true;
         connection.flush();
     }
 
-    /** Of its body nothing is kept any more. */
-    void drop() {
-        if (!taken) {
+    /** Releases the body and its memory reservation. */
+    void releaseBody() {
+        if (!bodyTaken) {
             body.release();
-            taken = true;
+            bodyTaken = true;
         }
-        connection.owner.room(-bytes);
-        bytes = 0;
+        connection.owner.reserveBodyBytes(-bodyBytes);
+        bodyBytes = 0;
     }
 }
--- a/src/main/java/gorsemast/proxy/ConfigurationStatus.java
+++ b/src/main/java/gorsemast/proxy/ConfigurationStatus.java
@@ -1,13 +1,19 @@
 package gorsemast.proxy;
 
-/** What an edge knows of whether the configuration that it holds is the newest. */
+/** Whether the configuration that an edge holds is known to be the newest. */
 enum ConfigurationStatus {
-    /** It holds none. */
+    /** There is no configuration. */
     ABSENT,
-    /** It has just started and holds one; a registry that vouches will say in a moment whether that is the newest. */
+    /**
+     * The edge has just received its first configuration. A synced registry will shortly confirm whether it is the
+     * newest.
+     */
     CHECKING,
-    /** No registry that it reaches vouches. Requests go by what it holds, and nothing is said not to be there. */
+    /**
+     * No reachable registry confirms the configuration. Requests are served by it, but unknown routes are not
+     * answered with 404.
+     */
     UNCONFIRMED,
-    /** It has held what a registry vouched for. */
+    /** The configuration has been confirmed by a registry. */
     CONFIRMED
 }
--- a/src/main/java/gorsemast/proxy/ConnectionSlot.java
+++ b/src/main/java/gorsemast/proxy/ConnectionSlot.java
@@ -12,76 +12,76 @@
 import java.util.function.LongSupplier;
 
 /**
- * The one place that a client's connection may have for requests that take time, however many it has sent ahead. Those that ask for it
- * while it waits for one share what comes of that. On the event loop.
+ * The concurrency slot of one client connection, which its pipelined requests share. Requests that ask for it while
+ * it is queued share the outcome. Runs on the event loop.
  */
 final class ConnectionSlot implements Waiter {
-    private record Asking(Runnable admitted, Runnable refused) {}
+    private record SlotRequest(Runnable admitted, Runnable refused) {}
 
     private final EventLoop loop;
     private final LongSupplier clock;
     private final ConcurrencyLimiter limiter;
-    private final Runnable released;
-    private final List<Asking> asking = new ArrayList<>();
+    private final Runnable onRelease;
+    private final List<SlotRequest> pending = new ArrayList<>();
     private Kind kind;
-    private boolean holds;
+    private boolean isHeld;
     private long heldSince;
-    private ScheduledFuture<?> limit;
+    private ScheduledFuture<?> timeout;
 
-    /** @param released run whenever a place is given back */
-    ConnectionSlot(EventLoop loop, LongSupplier clock, ConcurrencyLimiter limiter, Runnable released) {
+    /** @param onRelease run whenever the slot is released */
+    ConnectionSlot(EventLoop loop, LongSupplier clock, ConcurrencyLimiter limiter, Runnable onRelease) {
         this.loop = loop;
         this.clock = clock;
         this.limiter = limiter;
-        this.released = released;
+        this.onRelease = onRelease;
     }
 
-    /** Asks for the place; one of the two is run, at once or later, unless it is left meanwhile. */
-    void acquire(Kind wanted, Runnable admitted, Runnable refused) {
-        if (holds) {
+    /** Requests the slot. One of the two callbacks is run, now or later, unless {@link #release} is called before. */
+    void acquire(Kind requestedKind, Runnable admitted, Runnable refused) {
+        if (isHeld) {
             admitted.run();
             return;
         }
-        if (!asking.isEmpty()) {
-            asking.add(new Asking(admitted, refused));
+        if (!pending.isEmpty()) {
+            pending.add(new SlotRequest(admitted, refused));
             return;
         }
-        kind = wanted;
-        Admission admission = limiter.acquire(wanted, clock.getAsLong(), this);
+        kind = requestedKind;
+        Admission admission = limiter.acquire(requestedKind, clock.getAsLong(), this);
         switch (admission) {
             case ADMITTED -> {
-                hold();
+                markHeld();
                 admitted.run();
             }
             case QUEUED -> {
-                asking.add(new Asking(admitted, refused));
-                limit = loop.schedule(this::expire, wanted.maxWaitMicros(), TimeUnit.MICROSECONDS);
+                pending.add(new SlotRequest(admitted, refused));
+                timeout = loop.schedule(this::expire, requestedKind.maxWaitMicros(), TimeUnit.MICROSECONDS);
             }
             default -> refused.run();
         }
     }
 
-    private void hold() {
-        holds = true;
+    private void markHeld() {
+        isHeld = true;
         heldSince = clock.getAsLong();
     }
 
-    private List<Asking> over() {
-        limit.cancel(false);
-        List<Asking> told = List.copyOf(asking);
-        asking.clear();
-        return told;
+    private List<SlotRequest> takePending() {
+        timeout.cancel(false);
+        List<SlotRequest> requests = List.copyOf(pending);
+        pending.clear();
+        return requests;
     }
 
     @Override
     public void admitted() {
-        hold();
-        over().forEach(one -> one.admitted.run());
+        markHeld();
+        takePending().forEach(request -> request.admitted.run());
     }
 
     @Override
     public void refused() {
-        over().forEach(one -> one.refused.run());
+        takePending().forEach(request -> request.refused.run());
     }
 
     private void expire() {
@@ -90,14 +90,14 @@
         }
     }
 
-    /** Gives the place back, or waits for it no longer; nobody is told. */
-    void leave() {
-        if (!asking.isEmpty() && limiter.withdraw(this)) {
-            over();
+    /** Releases the slot, or withdraws the request for it without running a callback. */
+    void release() {
+        if (!pending.isEmpty() && limiter.withdraw(this)) {
+            takePending();
         }
-        if (holds) {
-            holds = false;
-            released.run();
+        if (isHeld) {
+            isHeld = false;
+            onRelease.run();
             limiter.release(kind, clock.getAsLong() - heldSince, clock.getAsLong());
         }
     }
--- a/src/main/java/gorsemast/proxy/EdgeCounters.java
+++ b/src/main/java/gorsemast/proxy/EdgeCounters.java
@@ -3,13 +3,13 @@
 import gorsemast.observe.EventCounters;
 
 /**
- * What one edge counts of its clients, for its log; one thread.
+ * Counters of one edge, written to its log; single-threaded.
  *
- * @param sockets what happens to its sockets
- * @param answers which answers it gives by itself
+ * @param socketEvents events on sockets
+ * @param localResponses responses that the edge generates itself
  */
-record EdgeCounters(EventCounters<SocketEvent> sockets, EventCounters<LocalResponse> answers) {
-    /** With nothing counted. */
+record EdgeCounters(EventCounters<SocketEvent> socketEvents, EventCounters<LocalResponse> localResponses) {
+    /** Creates counters at zero. */
     EdgeCounters() {
         this(new EventCounters<>(SocketEvent.class), new EventCounters<>(LocalResponse.class));
     }
--- a/src/main/java/gorsemast/proxy/Exchange.java
+++ b/src/main/java/gorsemast/proxy/Exchange.java
@@ -7,38 +7,38 @@
 import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** One request of a client, whole, and its one answer. On the event loop. */
+/** A complete client request and its single response. Runs on the event loop. */
 interface Exchange {
     HttpMethod method();
 
-    /** Path and query as they came. */
+    /** Path and query as received. */
     String uri();
 
     HttpHeaders headers();
 
-    /** Takes the body over; the taker owns it. */
+    /** Transfers the body to the caller, who must release it. */
     ByteBuf takeBody();
 
-    /** When its last byte came, in the loop's microseconds. */
-    long arrival();
+    /** When the last byte of the request arrived, in microseconds of the loop's clock. */
+    long arrivedAt();
 
-    /** What is to be done when the client leaves before it has its answer. */
-    void onLeave(Runnable task);
+    /** Sets the task to run if the client disconnects before its response. */
+    void onDisconnect(Runnable task);
 
     /**
-     * Asks for one of the places for requests that take time, unless its connection has one already. One of the two is run, at once or
-     * within {@link ConcurrencyLimiter.Kind#maxWaitMicros}, unless its client leaves before.
+     * Acquires a concurrency slot, unless the connection already holds one. One of the callbacks is run, now or
+     * within {@link ConcurrencyLimiter.Kind#maxWaitMicros}, unless the client disconnects before.
      */
     void acquire(ConcurrencyLimiter.Kind kind, Runnable admitted, Runnable refused);
 
     /**
-     * Answers; a second answer is let be.
+     * Sends the response; a second one is ignored.
      *
      * @param headers without lengths, which are set here; owned by the caller
      * @param body one reference, taken over
      */
-    void answer(int status, HttpHeaders headers, ByteBuf body);
+    void respond(int status, HttpHeaders headers, ByteBuf body);
 
-    /** Answers with an answer that is passed on as it comes. */
-    ResponseSink begin(HttpResponse head, HttpHeaders headers, long length, ResponseSink.FlowControl flow);
+    /** Starts a response that is streamed as it arrives. Returns null if there is no client to receive it. */
+    ResponseSink startStreaming(HttpResponse head, HttpHeaders headers, long length, ResponseSink.FlowControl flow);
 }
