--- a/src/test/java/gorsemast/proxy/ProxyNodeTest.java
+++ b/src/test/java/gorsemast/proxy/ProxyNodeTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** By whose word an edge is ready: only that of a registry which vouches, in answer to a question of its own of late. */
+/** An edge becomes ready only by a recent answer of a synced registry to a request of its own. */
 class ProxyNodeTest {
     private static final String CONFIGURATION =
             """
@@ -28,25 +28,25 @@
             "virtualHosts":[{"hostname":"h","pathRules":[{"name":"r","pathPrefix":"/","routeType":"idempotent",
             "timeout":"1s","targetLatency":"1s","priority":1,"maxAttempts":1,"backend":"s"}]}]}""";
 
-    private static final class Quiet implements ProxyNode.Listener {
+    private static final class NoOpListener implements ProxyNode.Listener {
         @Override
         public void configurationChanged(Configuration now, int edges) {
-            // nothing goes by it here
+            // not needed in this test
         }
 
         @Override
         public void serversChanged(Map<String, List<ServerInfo>> by, Map<String, Long> coldUntil) {
-            // nothing goes by it here
+            // not needed in this test
         }
 
         @Override
         public void purged(Entry purge) {
-            // nothing goes by it here
+            // not needed in this test
         }
 
         @Override
         public void speedsReceived(Map<String, double[]> pooled) {
-            // nothing goes by it here
+            // not needed in this test
         }
 
         @Override
@@ -56,7 +56,7 @@
     }
 
     private final List<PeerMessage> sent = new ArrayList<>();
-    private final GossipState held = new GossipState();
+    private final GossipState registryState = new GossipState();
     private final Neighbour registry = new Neighbour() {
         @Override
         public PeerMessage.Hello hello() {
@@ -64,15 +64,15 @@
         }
 
         @Override
-        public void send(PeerMessage record) {
-            sent.add(record);
+        public void send(PeerMessage message) {
+            sent.add(message);
         }
     };
     private long now = 1_000_000;
     private ProxyNode edge;
 
     @BeforeEach
-    void linked() {
+    void setUp() {
         edge = new ProxyNode(
                 "10.1.0.1",
                 "z",
@@ -83,82 +83,87 @@
                 () -> now,
                 () -> List.of(registry),
                 Map::of,
-                new Quiet());
-        held.merge(now, new Entry(Kind.CONFIGURATION, "", 1, CONFIGURATION.getBytes(StandardCharsets.UTF_8), now));
-        held.merge(now, new MachineInfo("10.0.0.1", "z", "", true, 1).toEntry(Kind.CORE, now));
+                new NoOpListener());
+        registryState.merge(
+                now, new Entry(Kind.CONFIGURATION, "", 1, CONFIGURATION.getBytes(StandardCharsets.UTF_8), now));
+        registryState.merge(now, new MachineInfo("10.0.0.1", "z", "", true, 1).toEntry(Kind.CORE, now));
         edge.up(registry);
-        edge.received(registry, new PeerMessage.Updates(0, held.newerThan((1 << GossipState.BUCKETS) - 1, List.of())));
+        edge.received(
+                registry,
+                new PeerMessage.Updates(0, registryState.newerThan((1 << GossipState.BUCKETS) - 1, List.of())));
     }
 
-    /** What it asked last is answered so much later. */
-    private void answered(boolean vouches, long later) {
+    /** Answers the last request after a delay. */
+    private void registryAnswers(boolean synced, long delayMicros) {
         edge.tick();
-        long asks = 0;
-        for (PeerMessage record : sent) {
-            asks = record instanceof Digest digest ? digest.requestTime() : asks;
+        long requestTime = 0;
+        for (PeerMessage message : sent) {
+            requestTime = message instanceof Digest digest ? digest.requestTime() : requestTime;
         }
-        now += later;
-        edge.received(registry, new Digest(vouches, 0, asks, held.digest()));
+        now += delayMicros;
+        edge.received(registry, new Digest(synced, 0, requestTime, registryState.digest()));
         edge.tick();
     }
 
     @Test
-    void isReadyByAFreshAnswerOfOneThatVouches() {
-        answered(true, 20_000);
+    void isReadyAfterAFreshAnswerOfASyncedRegistry() {
+        registryAnswers(true, 20_000);
         assertThat(edge.ready()).isTrue();
-        answered(false, 20_000);
-        assertThat(edge.ready()).as("serves on").isTrue();
+        registryAnswers(false, 20_000);
+        assertThat(edge.ready()).as("keeps serving").isTrue();
     }
 
     @Test
-    void isNotByOneThatDoesNotNorByWhatWasHeldUpNorUnasked() {
-        answered(false, 20_000);
-        answered(true, 3_000_000);
-        edge.received(registry, new Digest(true, 0, 0, held.digest()));
+    void isNotReadyAfterAnUnsyncedDelayedOrUnrequestedDigest() {
+        registryAnswers(false, 20_000);
+        registryAnswers(true, 3_000_000);
+        edge.received(registry, new Digest(true, 0, 0, registryState.digest()));
         edge.tick();
         assertThat(edge.ready()).isFalse();
     }
 
     @Test
-    void looksForOthersWhereItsOwnCantVouch() {
-        answered(false, 20_000);
-        assertThat(edge.wantedRegistries()).containsExactly("10.0.0.1");
+    void triesFurtherRegistriesWhereItsOwnAreNotSynced() {
+        registryAnswers(false, 20_000);
+        assertThat(edge.targetRegistries()).containsExactly("10.0.0.1");
         now += 3_000_000;
-        answered(false, 20_000);
-        assertThat(edge.wantedRegistries()).containsExactlyInAnyOrder("10.0.0.1", "10.0.0.2", "10.0.0.3");
+        registryAnswers(false, 20_000);
+        assertThat(edge.targetRegistries()).containsExactlyInAnyOrder("10.0.0.1", "10.0.0.2", "10.0.0.3");
     }
 
     @Test
-    void whatItHeardIsCheckedUntilARegistryVouchesForIt() {
+    void configurationIsCheckedUntilARegistryConfirmsIt() {
         assertThat(edge.configurationStatus()).isEqualTo(ConfigurationStatus.CHECKING);
-        long asks = lastQuestion();
-        assertThat(asks).as("asked behind the news, before any tick").isEqualTo(now);
+        long requestTime = lastRequestTime();
+        assertThat(requestTime)
+                .as("requested after the update, before any tick")
+                .isEqualTo(now);
         now += 20_000;
-        edge.received(registry, new Digest(true, 0, asks, held.digest()));
+        edge.received(registry, new Digest(true, 0, requestTime, registryState.digest()));
         assertThat(edge.configurationStatus()).isEqualTo(ConfigurationStatus.CONFIRMED);
         assertThat(edge.ready()).isTrue();
         now += 60_000_000;
-        assertThat(edge.configurationStatus()).as("serves on").isEqualTo(ConfigurationStatus.CONFIRMED);
+        assertThat(edge.configurationStatus()).as("keeps serving").isEqualTo(ConfigurationStatus.CONFIRMED);
     }
 
     @Test
-    void whereNobodyVouchesItGoesByWhatItHeard() {
-        edge.received(registry, new Digest(false, 0, lastQuestion(), held.digest()));
+    void configurationIsUnconfirmedWhereNoRegistryIsSynced() {
+        edge.received(registry, new Digest(false, 0, lastRequestTime(), registryState.digest()));
         assertThat(edge.configurationStatus()).isEqualTo(ConfigurationStatus.UNCONFIRMED);
     }
 
     @Test
-    void whereNobodyAnswersItIsNotCheckedForLong() {
+    void checkingEndsSoonWhereNoRegistryAnswers() {
         now += 900_000;
         assertThat(edge.configurationStatus()).isEqualTo(ConfigurationStatus.CHECKING);
         now += 200_000;
         assertThat(edge.configurationStatus()).isEqualTo(ConfigurationStatus.UNCONFIRMED);
     }
 
-    private long lastQuestion() {
+    private long lastRequestTime() {
         long asks = 0;
-        for (PeerMessage record : sent) {
-            asks = record instanceof Digest digest && digest.requestTime() != 0 ? digest.requestTime() : asks;
+        for (PeerMessage message : sent) {
+            asks = message instanceof Digest digest && digest.requestTime() != 0 ? digest.requestTime() : asks;
         }
         return asks;
     }
--- a/src/test/java/gorsemast/standin/ProcessesTest.java
+++ b/src/test/java/gorsemast/standin/ProcessesTest.java
@@ -186,7 +186,7 @@
         }
         read(7);
         put(8);
-        LoopbackNetwork.until(() -> log("edge").contains("goes by version 8"));
+        LoopbackNetwork.until(() -> log("edge").contains("applied configuration version 8"));
     }
 
     /** Killed at once: registries and the edge have nothing but what is on the registries' disks. */
@@ -220,7 +220,7 @@
     private long readies() {
         return log("edge")
                 .lines()
-                .filter(line -> line.contains("is ready with"))
+                .filter(line -> line.contains("ready with configuration version"))
                 .count();
     }
 
@@ -228,7 +228,7 @@
     @Test
     void aMachineIsReplacedInOrderAndAnotherOneLost() throws Exception {
         core(4, false);
-        LoopbackNetwork.until(() -> log("store4").contains("runs on core-4"));
+        LoopbackNetwork.until(() -> log("store4").contains("running on core-4"));
         int by = put(2);
         for (String program : new String[] {"registry", "store"}) {
             Process process = running.remove(program + by);
