--- a/src/main/java/gorsemast/simulation/CoreProcesses.java
+++ b/src/main/java/gorsemast/simulation/CoreProcesses.java
@@ -84,7 +84,7 @@
         }
 
         @Override
-        PeerMessage.Hello hello() {
+        PeerMessage.Hello ownHello() {
             return office.hello();
         }
 
@@ -265,7 +265,7 @@
         }
 
         @Override
-        PeerMessage.Hello hello() {
+        PeerMessage.Hello ownHello() {
             return StoreNode.hello(machine.ip, machine.zone);
         }
 
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -417,7 +417,7 @@
     // ---- links
 
     @Override
-    PeerMessage.Hello hello() {
+    PeerMessage.Hello ownHello() {
         return lookout.hello();
     }
 
--- a/src/main/java/gorsemast/simulation/Process.java
+++ b/src/main/java/gorsemast/simulation/Process.java
@@ -104,7 +104,7 @@
         }
 
         private void begin() {
-            send(hello());
+            send(ownHello());
             after(PING_MICROS, this::ping);
         }
 
@@ -168,7 +168,7 @@
         return record;
     }
 
-    abstract PeerMessage.Hello hello();
+    abstract PeerMessage.Hello ownHello();
 
     abstract void linked(Neighbour one);
 
