--- a/src/main/java/gorsemast/proxy/ObjectService.java
+++ b/src/main/java/gorsemast/proxy/ObjectService.java
@@ -155,9 +155,9 @@
             }
 
             @Override
-            public void onResponse(CachedResponse cached, boolean once) {
+            public void onResponse(CachedResponse fetched, boolean once) {
                 if (!finish()) {
-                    respond(exchange, cached, attemptId);
+                    respond(exchange, fetched, attemptId);
                 }
             }
 
