--- a/src/main/java/gorsemast/gossip/Entry.java
+++ b/src/main/java/gorsemast/gossip/Entry.java
@@ -6,21 +6,21 @@
 import java.io.IOException;
 
 /**
- * One piece of news: of two with the same key the one with the higher stamp holds, then that of the later term.
+ * One entry of the gossip state. Of two with the same key the one with the higher stamp wins, then that of the later term.
  *
  * @param key unique within its kind
- * @param origin who vouches for its content, where one stamp may have several
- * @param body a record of its kind; not to be written to
- * @param createdAt when it was first told, by the clock of the process that holds it, in microseconds
+ * @param origin term and digest of the content, for kinds of which one stamp may have several contents
+ * @param body the encoded content; must not be modified
+ * @param createdAt when it was first published, by the clock of the process that holds it, in microseconds
  */
 public record Entry(Kind kind, String key, long stamp, Origin origin, byte[] body, long createdAt) {
     /**
-     * A content and the term that vouches for it; of two contents under a stamp the later term's holds.
+     * The term that confirmed a content, and its digest; of two contents under a stamp that of the later term wins.
      *
-     * @param digest of the content; also breaks ties, which come about only by a fault
+     * @param digest digest of the content; also breaks ties, which only a fault can cause
      */
     public record Origin(long term, ContentDigest digest) implements Comparable<Origin> {
-        /** Of news whose stamp says everything. */
+        /** The origin of entries that their stamp orders completely. */
         public static final Origin NONE = new Origin(0, ContentDigest.NONE);
 
         @Override
@@ -29,70 +29,70 @@
         }
     }
 
-    /** What it is about. */
+    /** What an entry is about. */
     public enum Kind {
-        /** The operator's configuration; one key, stamped with its version, and with the store's term and its digest. */
+        /** The operator's configuration: a single key, stamped with the version, with the store's term and the digest. */
         CONFIGURATION(false),
-        /** A server's state, stamped by its own count of calls; passes once it has left or is silent. */
+        /** A server's state, stamped by the server's call sequence number; expires once it has left or is silent. */
         SERVER(false),
-        /** Copies made before this are not to be served any more. */
+        /** A purge: responses cached before it must not be served any more. */
         PURGE(true),
         /** A core machine and where its programs listen. */
         CORE(false),
         /** An edge, and where it listens. */
         EDGE(false),
-        /** What one edge has seen of servers' speeds; told anew so often that gaps are not mended. */
+        /** The server speeds measured by one edge; sent so often that lost ones are not repaired. */
         SPEED(true);
 
-        private static final Kind[] ALL = values();
-        private final boolean passes;
+        private static final Kind[] VALUES = values();
+        private final boolean expires;
 
-        Kind(boolean passes) {
-            this.passes = passes;
+        Kind(boolean expires) {
+            this.expires = expires;
         }
 
-        /** Whether a stamp may have several contents, so that an origin goes with it. */
+        /** Returns whether a stamp may have several contents, so that an origin is encoded with it. */
         boolean hasOrigin() {
             return this == CONFIGURATION;
         }
 
-        /** Whether digests are of it. */
+        /** Returns whether digests cover this kind, so that gaps are repaired. */
         public boolean reconciled() {
             return this != SPEED;
         }
 
-        /** The kind of this number. */
+        /** Returns the kind of this ordinal. */
         public static Kind of(int number) throws IOException {
-            if (number < 0 || number >= ALL.length) {
-                throw new IOException("no kind of news " + number);
+            if (number < 0 || number >= VALUES.length) {
+                throw new IOException("unknown entry kind " + number);
             }
-            return ALL[number];
+            return VALUES[number];
         }
     }
 
-    private static final int MOST = 64 << 20;
+    private static final int MAX_BODY_BYTES = 64 << 20;
 
-    /** News whose stamp says everything. */
-    public Entry(Kind kind, String key, long stamp, byte[] body, long born) {
-        this(kind, key, stamp, Origin.NONE, body, born);
+    /** Creates an entry that its stamp orders completely. */
+    public Entry(Kind kind, String key, long stamp, byte[] body, long createdAt) {
+        this(kind, key, stamp, Origin.NONE, body, createdAt);
     }
 
-    /** A configuration as the store vouches for it. */
-    public static Entry configuration(long version, long term, ContentDigest digest, byte[] body, long born) {
-        return new Entry(Kind.CONFIGURATION, "", version, new Origin(term, digest), body, born);
+    /** Creates the entry of a configuration as confirmed by the store. */
+    public static Entry configuration(long version, long term, ContentDigest digest, byte[] body, long createdAt) {
+        return new Entry(Kind.CONFIGURATION, "", version, new Origin(term, digest), body, createdAt);
     }
 
-    /** What digests and summaries are of. */
+    /** Returns key, stamp and origin, which digests and summaries cover. */
     GossipState.EntryVersion version() {
         return new GossipState.EntryVersion(kind, key, stamp, origin);
     }
 
-    /** Whether it is forgotten after some time: what still holds is not, however long ago it was told. */
+    /** Returns whether it is removed after some time; an entry that is still in effect never expires. */
     boolean expires() {
-        return kind == Kind.SERVER ? ServerInfo.passes(stamp) : kind.passes;
+        return kind == Kind.SERVER ? ServerInfo.expires(stamp) : kind.expires;
     }
 
-    /** Writes it with its age, as clocks are not compared between machines. */
+    /** Writes the entry with its age instead of its time, as machines do not compare their clocks. */
     public void write(DataOutputStream out, long now) throws IOException {
         version().write(out);
         out.writeLong(Math.max(0, now - createdAt));
@@ -102,14 +102,14 @@
 
     /** Reads what {@link #write} wrote. */
     public static Entry read(DataInputStream in, long now) throws IOException {
-        GossipState.EntryVersion mark = GossipState.EntryVersion.read(in);
+        GossipState.EntryVersion version = GossipState.EntryVersion.read(in);
         long age = in.readLong();
         int length = in.readInt();
-        if (length < 0 || length > MOST || age < 0) {
-            throw new IOException("news of " + length + " bytes, " + age + " old");
+        if (length < 0 || length > MAX_BODY_BYTES || age < 0) {
+            throw new IOException("invalid entry: " + length + " bytes, " + age + " microseconds old");
         }
         byte[] body = new byte[length];
         in.readFully(body);
-        return new Entry(mark.kind(), mark.key(), mark.stamp(), mark.origin(), body, now - age);
+        return new Entry(version.kind(), version.key(), version.stamp(), version.origin(), body, now - age);
     }
 }
--- a/src/main/java/gorsemast/gossip/GossipState.java
+++ b/src/main/java/gorsemast/gossip/GossipState.java
@@ -13,38 +13,38 @@
 import java.util.Map;
 
 /**
- * All news that one process holds.
+ * The replicated gossip state of one process.
  *
- * <p><b>Idea.</b> Merging is idempotent, commutative and associative: the higher stamp of a key holds, and of two contents
- * under one stamp that of the later term. So news may be
- * passed on by anybody to anybody, in any order and more than once, and all come to hold the same (state-based CRDTs,
- * Shapiro et al. 2011). Gaps are found by comparing digests, one for each of {@link #BUCKETS} parts of the keys, and
- * mended by telling the stamps of a part that differs (anti-entropy, Demers et al. 1987).
+ * <p>Merging is idempotent, commutative and associative: the higher stamp of a key wins, and of two contents under one
+ * stamp that of the later term. So any process may forward entries to any other, in any order and more than once, and all
+ * converge (state-based CRDTs, Shapiro et al. 2011). Gaps are found by comparing digests, one per bucket of the keys, of
+ * which there are {@link #BUCKETS}, and repaired by exchanging the versions of a bucket that differs (anti-entropy, Demers
+ * et al. 1987).
  *
- * <p><b>Bounds.</b> A purge, or a server that has left or is silent, is forgotten {@link #RETENTION_MICROS} after it was first told; no copy
- * lives longer than {@link #MAX_CACHE_AGE_MICROS}, which is well before that. {@link #MOST_PURGES} purges are kept at
- * most. O(1) a merge; digests are kept up as items come. One thread.
+ * <p>A purge, or a server that has left or is silent, is removed about {@link #RETENTION_MICROS} after it was first
+ * published. No cached response lives longer than {@link #MAX_CACHE_AGE_MICROS}, which is well before that. At most
+ * {@link #MAX_PURGES} purges are kept. O(1) per merge; digests are updated incrementally. Not thread-safe.
  */
 public final class GossipState {
-    /** Parts of the keys that digests are kept for. */
+    /** The number of buckets that keys are divided into, each with its digest. */
     public static final int BUCKETS = 16;
-    /** After so long, what passes is forgotten and not taken in again. */
+    /** After this time an entry that expires is removed and not accepted again. */
     public static final long RETENTION_MICROS = 360_000_000;
-    /** No copy may be served that is older. */
+    /** The highest age at which a cached response may be served. */
     public static final long MAX_CACHE_AGE_MICROS = 300_000_000;
 
-    private static final int MOST_PURGES = 20_000;
-    /** In this last part of its time an item counts in no digest, as clocks that differ by little forget it in turn. */
-    private static final long FADING_MICROS = 30_000_000;
+    private static final int MAX_PURGES = 20_000;
+    /** Entries leave the state and its digests this early, as slightly different clocks expire them one after another. */
+    private static final long EXPIRY_MARGIN_MICROS = 30_000_000;
 
-    /** A key with its stamp and origin, which is what digests and summaries are of. */
+    /** The key, stamp and origin of an entry, which digests and summaries cover. */
     public record EntryVersion(Kind kind, String key, long stamp, Entry.Origin origin) {
-        /** Whether it holds against another one of the same key. */
+        /** Returns whether it wins against another version of the same key. */
         boolean newerThan(EntryVersion other) {
             return stamp != other.stamp ? stamp > other.stamp : origin.compareTo(other.origin) > 0;
         }
 
-        /** Writes it; the origin only where there is one. */
+        /** Writes the version, with the origin only for kinds that have one. */
         public void write(DataOutputStream out) throws IOException {
             out.writeByte(kind.ordinal());
             out.writeUTF(key);
@@ -68,135 +68,135 @@
         }
     }
 
-    private final Map<Kind, Map<String, Entry>> items = new EnumMap<>(Kind.class);
+    private final Map<Kind, Map<String, Entry>> entries = new EnumMap<>(Kind.class);
     private final long[] digests = new long[BUCKETS];
-    private long purges;
+    private long purgeDigest;
 
-    /** An empty one. */
+    /** Creates an empty state. */
     public GossipState() {
         for (Kind kind : Kind.values()) {
-            items.put(kind, new LinkedHashMap<>());
+            entries.put(kind, new LinkedHashMap<>());
         }
     }
 
-    /** Takes an item in. Returns whether it was news. */
-    public boolean merge(long now, Entry item) {
-        if (item.expires() && now - item.createdAt() > RETENTION_MICROS - FADING_MICROS) {
+    /** Merges an entry; returns whether it was newer than the current one. */
+    public boolean merge(long now, Entry entry) {
+        if (entry.expires() && now - entry.createdAt() > RETENTION_MICROS - EXPIRY_MARGIN_MICROS) {
             return false;
         }
-        Map<String, Entry> of = items.get(item.kind());
-        Entry held = of.get(item.key());
-        if (held != null && !item.version().newerThan(held.version())) {
+        Map<String, Entry> sameKind = entries.get(entry.kind());
+        Entry current = sameKind.get(entry.key());
+        if (current != null && !entry.version().newerThan(current.version())) {
             return false;
         }
-        if (held != null) {
-            toggle(held);
+        if (current != null) {
+            toggleDigest(current);
         }
-        of.put(item.key(), item);
-        toggle(item);
-        if (item.kind() == Kind.PURGE && of.size() > MOST_PURGES) {
-            Entry oldest = of.values().iterator().next();
-            toggle(oldest);
-            of.remove(oldest.key());
+        sameKind.put(entry.key(), entry);
+        toggleDigest(entry);
+        if (entry.kind() == Kind.PURGE && sameKind.size() > MAX_PURGES) {
+            Entry oldest = sameKind.values().iterator().next();
+            toggleDigest(oldest);
+            sameKind.remove(oldest.key());
         }
         return true;
     }
 
-    /** Forgets what has passed; to be called every second or so. */
+    /** Removes expired entries; called about every second. */
     public void removeExpired(long now) {
         for (Kind kind : Kind.values()) {
-            items.get(kind).values().removeIf(item -> {
-                boolean passed = item.expires() && now - item.createdAt() > RETENTION_MICROS - FADING_MICROS;
-                if (passed) {
-                    toggle(item);
+            entries.get(kind).values().removeIf(entry -> {
+                boolean expired = entry.expires() && now - entry.createdAt() > RETENTION_MICROS - EXPIRY_MARGIN_MICROS;
+                if (expired) {
+                    toggleDigest(entry);
                 }
-                return passed;
+                return expired;
             });
         }
     }
 
-    private void toggle(Entry item) {
-        if (!item.kind().reconciled()) {
+    private void toggleDigest(Entry entry) {
+        if (!entry.kind().reconciled()) {
             return;
         }
-        long hash = hash(item.kind(), item.key(), item.stamp());
-        if (item.kind().hasOrigin()) {
-            hash = Hash.mix(Hash.mix(hash ^ item.origin().term())
-                    ^ item.origin().digest().high());
+        long hash = hash(entry.kind(), entry.key(), entry.stamp());
+        if (entry.kind().hasOrigin()) {
+            hash = Hash.mix(Hash.mix(hash ^ entry.origin().term())
+                    ^ entry.origin().digest().high());
         }
-        digests[bucket(item.kind(), item.key())] ^= hash;
-        if (item.kind() == Kind.PURGE) {
-            purges ^= hash;
+        digests[bucket(entry.kind(), entry.key())] ^= hash;
+        if (entry.kind() == Kind.PURGE) {
+            purgeDigest ^= hash;
         }
     }
 
-    /** What is held of a key; null for nothing. */
+    /** Returns the entry of a key, or null. */
     public Entry get(Kind kind, String key) {
-        return items.get(kind).get(key);
+        return entries.get(kind).get(key);
     }
 
-    /** All of a kind, oldest first; not to be changed. */
+    /** Returns all entries of a kind, oldest first; callers must not modify them. */
     public Collection<Entry> all(Kind kind) {
-        return items.get(kind).values();
+        return entries.get(kind).values();
     }
 
-    /** How many items there are. */
+    /** Returns the number of entries. */
     public int size() {
-        return items.values().stream().mapToInt(Map::size).sum();
+        return entries.values().stream().mapToInt(Map::size).sum();
     }
 
-    /** One number for each part; equal numbers stand for equal news. */
+    /** Returns one hash per bucket; equal hashes stand for equal entries. */
     public long[] digest() {
         return digests.clone();
     }
 
-    /** One number for all purges that are known: who has the same knows of the same. */
+    /** Returns one hash over all known purges; processes with the same hash know the same purges. */
     public long purgeDigest() {
-        return purges;
+        return purgeDigest;
     }
 
-    /** Whether the parts differ, a bit for each. */
-    public int differingBuckets(long[] others) {
+    /** Returns a bit for each bucket whose digest differs. */
+    public int differingBuckets(long[] otherDigests) {
         int bits = 0;
         for (int i = 0; i < BUCKETS; i++) {
-            bits |= others[i] == digests[i] ? 0 : 1 << i;
+            bits |= otherDigests[i] == digests[i] ? 0 : 1 << i;
         }
         return bits;
     }
 
-    /** The stamps of all items in these parts. */
-    public List<EntryVersion> versions(int parts) {
+    /** Returns the versions of all entries in these buckets, given as bits. */
+    public List<EntryVersion> versions(int buckets) {
         List<EntryVersion> found = new ArrayList<>();
-        items.values().forEach(of -> of.values().forEach(item -> {
-            if (item.kind().reconciled() && (parts >> bucket(item.kind(), item.key()) & 1) == 1) {
-                found.add(item.version());
+        entries.values().forEach(sameKind -> sameKind.values().forEach(entry -> {
+            if (entry.kind().reconciled() && (buckets >> bucket(entry.kind(), entry.key()) & 1) == 1) {
+                found.add(entry.version());
             }
         }));
         return found;
     }
 
-    /** What is held here and newer than, or lacking in, the other's stamps of these parts. */
-    public List<Entry> newerThan(int parts, List<EntryVersion> others) {
+    /** Returns the entries of these buckets that are newer than, or missing in, the other's versions. */
+    public List<Entry> newerThan(int buckets, List<EntryVersion> otherVersions) {
         Map<String, EntryVersion> known = new LinkedHashMap<>();
-        others.forEach(stamp -> known.put(stamp.kind().ordinal() + stamp.key(), stamp));
-        List<Entry> found = new ArrayList<>();
-        items.values().forEach(of -> of.values().forEach(item -> {
-            EntryVersion theirs = known.get(item.kind().ordinal() + item.key());
-            if (item.kind().reconciled()
-                    && (parts >> bucket(item.kind(), item.key()) & 1) == 1
-                    && (theirs == null || item.version().newerThan(theirs))) {
-                found.add(item);
+        otherVersions.forEach(stamp -> known.put(stamp.kind().ordinal() + stamp.key(), stamp));
+        List<Entry> newer = new ArrayList<>();
+        entries.values().forEach(sameKind -> sameKind.values().forEach(entry -> {
+            EntryVersion otherVersion = known.get(entry.kind().ordinal() + entry.key());
+            if (entry.kind().reconciled()
+                    && (buckets >> bucket(entry.kind(), entry.key()) & 1) == 1
+                    && (otherVersion == null || entry.version().newerThan(otherVersion))) {
+                newer.add(entry);
             }
         }));
-        return found;
+        return newer;
     }
 
-    /** What the other has newer than this one. */
-    public List<EntryVersion> missing(List<EntryVersion> others) {
+    /** Returns the versions that are newer than, or missing in, this state. */
+    public List<EntryVersion> missing(List<EntryVersion> otherVersions) {
         List<EntryVersion> found = new ArrayList<>();
-        for (EntryVersion stamp : others) {
-            Entry held = get(stamp.kind(), stamp.key());
-            if (held == null || stamp.newerThan(held.version())) {
+        for (EntryVersion stamp : otherVersions) {
+            Entry current = get(stamp.kind(), stamp.key());
+            if (current == null || stamp.newerThan(current.version())) {
                 found.add(stamp);
             }
         }
--- a/src/main/java/gorsemast/gossip/PurgeRequest.java
+++ b/src/main/java/gorsemast/gossip/PurgeRequest.java
@@ -7,14 +7,14 @@
 import java.io.IOException;
 
 /**
- * An order that copies made before it are not to be served: of one path, or of all that carry a tag.
+ * A purge: responses cached before it must not be served, either those of one path or all that carry a tag.
  *
- * @param host in lower case; empty where a tag is named
- * @param path empty where a tag is named
- * @param tag empty where a path is named
+ * @param host in lower case; empty if there is a tag
+ * @param path empty if there is a tag
+ * @param tag empty if there is a path
  */
 public record PurgeRequest(String id, String host, String path, String tag) {
-    /** As a piece of news. */
+    /** Encodes it as an entry. */
     public Entry toEntry(long now) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -22,15 +22,15 @@
             out.writeUTF(path);
             out.writeUTF(tag);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // memory does not fail
+            throw new IllegalStateException(e); // a byte array does not fail
         }
         return new Entry(Entry.Kind.PURGE, id, 1, bytes.toByteArray(), now);
     }
 
-    /** What {@link #toEntry} made; null where it can't be read. */
-    public static PurgeRequest fromEntry(Entry item) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(item.body()))) {
-            return new PurgeRequest(item.key(), in.readUTF(), in.readUTF(), in.readUTF());
+    /** Decodes an entry made by {@link #toEntry}; returns null if it is unreadable. */
+    public static PurgeRequest fromEntry(Entry entry) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(entry.body()))) {
+            return new PurgeRequest(entry.key(), in.readUTF(), in.readUTF(), in.readUTF());
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/gorsemast/gossip/ServerInfo.java
+++ b/src/main/java/gorsemast/gossip/ServerInfo.java
@@ -9,10 +9,10 @@
 import java.net.InetSocketAddress;
 
 /**
- * What is known of one life of a server.
+ * The state of one incarnation of a server.
  *
- * @param seq the number of its call that told this
- * @param warmupMicros for how long it is slow yet, from when this was told
+ * @param seq the sequence number of the server's call that reported this
+ * @param warmupMicros how long it still warms up and is slow, from when this was reported
  */
 public record ServerInfo(
         String id,
@@ -23,41 +23,41 @@
         State state,
         long seq,
         long warmupMicros) {
-    /** What it does; the order breaks ties within one call's number. */
+    /** Lifecycle states; for equal sequence numbers the later constant wins. */
     public enum State {
-        /** It takes requests. */
+        /** Accepts requests. */
         READY,
-        /** It has told nothing for long; it may be gone. */
+        /** Has sent no heartbeat for some time and may be gone. */
         SILENT,
-        /** It leaves and takes nothing new. */
+        /** Is leaving and accepts no new requests. */
         DRAINING,
-        /** It has left, for good. */
+        /** Has left permanently. */
         GONE;
 
-        private static final State[] ALL = values();
+        private static final State[] VALUES = values();
     }
 
-    /** Higher for later calls; one that has left stays so whatever comes late. */
+    /** Returns the stamp, higher for later calls; that of a server that has left is the highest, so that it stays gone. */
     public long stamp() {
-        return state == State.GONE ? Long.MAX_VALUE : seq * State.ALL.length + state.ordinal();
+        return state == State.GONE ? Long.MAX_VALUE : seq * State.VALUES.length + state.ordinal();
     }
 
-    /** Whether a stamp is of one that has left or is silent, and may be forgotten some time after. */
-    static boolean passes(long stamp) {
-        return stamp == Long.MAX_VALUE || stamp % State.ALL.length == State.SILENT.ordinal();
+    /** Returns whether a stamp is that of a server that has left or is silent, whose entry expires. */
+    static boolean expires(long stamp) {
+        return stamp == Long.MAX_VALUE || stamp % State.VALUES.length == State.SILENT.ordinal();
     }
 
-    /** Where it is dialled; null where the address is none. */
+    /** Returns the address to connect to, or null if it is invalid. */
     public InetSocketAddress socketAddress() {
         return Address.parse(address);
     }
 
-    /** The same server in another state. */
-    public ServerInfo withState(State next, long atSeq) {
-        return new ServerInfo(id, service, address, zone, capacity, next, atSeq, warmupMicros);
+    /** Returns the same server in another state. */
+    public ServerInfo withState(State newState, long newSeq) {
+        return new ServerInfo(id, service, address, zone, capacity, newState, newSeq, warmupMicros);
     }
 
-    /** As a piece of news. */
+    /** Encodes it as an entry. */
     public Entry toEntry(long now) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
@@ -69,21 +69,21 @@
             out.writeLong(seq);
             out.writeLong(warmupMicros);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // memory does not fail
+            throw new IllegalStateException(e); // a byte array does not fail
         }
         return new Entry(Entry.Kind.SERVER, id, stamp(), bytes.toByteArray(), now);
     }
 
-    /** What {@link #toEntry} made; null where it can't be read. */
-    public static ServerInfo fromEntry(Entry item) {
-        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(item.body()))) {
+    /** Decodes an entry made by {@link #toEntry}; returns null if it is unreadable. */
+    public static ServerInfo fromEntry(Entry entry) {
+        try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(entry.body()))) {
             return new ServerInfo(
-                    item.key(),
+                    entry.key(),
                     in.readUTF(),
                     in.readUTF(),
                     in.readUTF(),
                     in.readDouble(),
-                    State.ALL[in.readUnsignedByte()],
+                    State.VALUES[in.readUnsignedByte()],
                     in.readLong(),
                     in.readLong());
         } catch (IOException | IndexOutOfBoundsException e) {
--- a/src/main/java/gorsemast/gossip/package-info.java
+++ b/src/main/java/gorsemast/gossip/package-info.java
@@ -1,5 +1,5 @@
 /**
- * News: what all processes of the delivery network come to know, merged the same way everywhere, passed on to a few and
- * mended by digests. No I/O, no clock, no threads.
+ * The gossip state that all processes of the delivery network replicate: entries merged the same way everywhere, and
+ * digests to repair gaps. No I/O, no clock, no threads.
  */
 package gorsemast.gossip;
--- a/src/main/java/gorsemast/modelcheck/RegistryWorld.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryWorld.java
@@ -112,7 +112,7 @@
         }
         String tag = "o" + ++orders;
         say(ip + " is sent " + tag);
-        machine.node.run(new Command.Purge("", "", tag), 10, (status, text, body) -> {
+        machine.node.execute(new Command.Purge("", "", tag), 10, (status, text, body) -> {
             say(tag + " ends with " + status);
             if (status == 200) {
                 for (Entry item : machine.node.state().all(Kind.PURGE)) {
--- a/src/main/java/gorsemast/node/Daemon.java
+++ b/src/main/java/gorsemast/node/Daemon.java
@@ -5,34 +5,34 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** One of the three programs, as the entry point drives it. */
+/** One of the three programs, as run by the entry point. */
 public interface Daemon {
-    /** A closed program's threads have so long to end. */
+    /** How long {@link #close} waits for threads to end. */
     int CLOSE_SECONDS = 3;
 
-    /** Begins; throws where it can't. Not on its loop. */
+    /** Starts the program; not called on its event loop. */
     void start() throws IOException;
 
-    /** The settings file may have changed. */
+    /** Applies settings that may have changed. */
     void reload(Settings settings);
 
-    /** The process is to end; returns when nothing is left to do. */
+    /** Prepares the end of the process; returns when nothing is left to do. */
     void stop();
 
     /**
-     * Ends its threads, sockets and disk at once, without leaving in order: for several programs in one process, which goes
-     * on after them. The programs that the platform runs end with their process. Waits for some seconds at most; not on its
-     * loop; once, and also after a start that failed.
+     * Ends threads, sockets and disk access at once, without a graceful shutdown: for several programs in one process that
+     * outlives them. The programs that the platform runs end with their process. Waits for some seconds at most. Called once,
+     * also after a failed start, and not on its event loop.
      */
     void close();
 
-    /** Ends a loop with all its sockets; waits for some seconds at most. */
+    /** Shuts down an event loop with all its sockets; waits for some seconds at most. */
     static void shutDown(EventLoop loop) {
         loop.shutdownGracefully(0, CLOSE_SECONDS, TimeUnit.SECONDS)
                 .awaitUninterruptibly(CLOSE_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Ends the thread of a disk after what it is writing; waits for some seconds at most. */
+    /** Shuts down the writer thread of a disk after its current write; waits for some seconds at most. */
     static void shutDown(ExecutorService writer) {
         writer.shutdownNow();
         try {
--- a/src/main/java/gorsemast/node/FaultTolerance.java
+++ b/src/main/java/gorsemast/node/FaultTolerance.java
@@ -1,20 +1,20 @@
 package gorsemast.node;
 
 /**
- * What may be lost at the same time while every rule is kept: so many counted machines, or so many whole zones, or so
- * many whole regions. A value; any thread.
+ * The losses that the system tolerates at the same time without violating a rule: a number of machines, or of whole zones,
+ * or of whole regions. Immutable.
  *
- * @param machines counted machines, 0 or more
- * @param zones 0 or more; 0 where a zone's loss is not borne
- * @param regions 0 or more; 0 where a region's loss is not borne
+ * @param machines machines whose loss is counted, 0 or more
+ * @param zones 0 or more; 0 if the loss of a zone is not tolerated
+ * @param regions 0 or more; 0 if the loss of a region is not tolerated
  */
 public record FaultTolerance(int machines, int zones, int regions) {
-    /** That many machines, and no zone or region as a whole. */
+    /** Tolerates the loss of this many machines, but of no whole zone or region. */
     public static FaultTolerance ofMachines(int machines) {
         return new FaultTolerance(machines, 0, 0);
     }
 
-    /** The largest of the three: so many disks may be lost beside the one that has a copy left. */
+    /** Returns the largest of the three: the number of disks that may be lost beside one that still has the data. */
     public int losses() {
         return Math.max(machines, Math.max(zones, regions));
     }
--- a/src/main/java/gorsemast/node/PlainYaml.java
+++ b/src/main/java/gorsemast/node/PlainYaml.java
@@ -6,19 +6,19 @@
 import java.util.Map;
 
 /**
- * The few forms of YAML in which the platform writes its settings: block mappings and lists, plain numbers and words,
- * texts in double quotes without escapes. Whatever else a file holds is left to the library, whose first use takes 40 ms
- * of a start that clients wait for. No state; any thread.
+ * Parses the subset of YAML in which the platform writes its settings: block mappings and lists, plain numbers and words,
+ * strings in double quotes without escapes. Other files are left to the YAML library, whose first use adds 40 ms to a start
+ * that clients wait for.
  */
 final class PlainYaml {
     private static final String QUOTE = "\"";
 
     private final List<String> lines = new ArrayList<>();
-    private int at;
+    private int position;
 
     private PlainYaml() {}
 
-    /** What the text says, or null where it has a form that is not plain. */
+    /** Parses the text; returns null if it uses other forms of YAML. */
     static Map<?, ?> read(String text) {
         PlainYaml yaml = new PlainYaml();
         for (String line : text.split("\n", -1)) {
@@ -30,15 +30,15 @@
             }
         }
         try {
-            Object whole = yaml.block(0);
-            return yaml.at == yaml.lines.size() && whole instanceof Map<?, ?> map ? map : null;
+            Object document = yaml.parseBlock(0);
+            return yaml.position == yaml.lines.size() && document instanceof Map<?, ?> map ? map : null;
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static IllegalArgumentException other() {
-        return new IllegalArgumentException("another form");
+    private static IllegalArgumentException unsupported() {
+        return new IllegalArgumentException("unsupported YAML form");
     }
 
     private static int indent(String line) {
@@ -49,68 +49,68 @@
         return spaces;
     }
 
-    private Object block(int indent) {
-        if (at >= lines.size() || indent(lines.get(at)) != indent) {
-            throw other();
+    private Object parseBlock(int indent) {
+        if (position >= lines.size() || indent(lines.get(position)) != indent) {
+            throw unsupported();
         }
-        return lines.get(at).startsWith("- ", indent) ? list(indent) : mapping(indent);
+        return lines.get(position).startsWith("- ", indent) ? parseList(indent) : parseMapping(indent);
     }
 
-    private List<Object> list(int indent) {
+    private List<Object> parseList(int indent) {
         List<Object> list = new ArrayList<>();
-        while (at < lines.size() && indent(lines.get(at)) == indent) {
-            String line = lines.get(at++);
+        while (position < lines.size() && indent(lines.get(position)) == indent) {
+            String line = lines.get(position++);
             if (!line.startsWith("- ", indent)) {
-                throw other();
+                throw unsupported();
             }
-            list.add(scalar(line.substring(indent + 2)));
+            list.add(parseScalar(line.substring(indent + 2)));
         }
         return list;
     }
 
-    private Map<Object, Object> mapping(int indent) {
+    private Map<Object, Object> parseMapping(int indent) {
         Map<Object, Object> map = new LinkedHashMap<>();
-        while (at < lines.size() && indent(lines.get(at)) == indent) {
-            String line = lines.get(at++).substring(indent);
+        while (position < lines.size() && indent(lines.get(position)) == indent) {
+            String line = lines.get(position++).substring(indent);
             int colon = line.indexOf(':');
             String key = colon <= 0 ? "" : line.substring(0, colon);
-            if (!word(key) || map.containsKey(key)) {
-                throw other();
+            if (!isPlainKey(key) || map.containsKey(key)) {
+                throw unsupported();
             }
             String rest = line.substring(colon + 1);
             if (!rest.isEmpty()) {
                 if (rest.charAt(0) != ' ') {
-                    throw other();
+                    throw unsupported();
                 }
-                map.put(key, scalar(rest.substring(1)));
-            } else if (at < lines.size() && indent(lines.get(at)) == indent + 2) {
-                map.put(key, block(indent + 2));
+                map.put(key, parseScalar(rest.substring(1)));
+            } else if (position < lines.size() && indent(lines.get(position)) == indent + 2) {
+                map.put(key, parseBlock(indent + 2));
             } else {
-                throw other();
+                throw unsupported();
             }
         }
         return map;
     }
 
-    private static boolean word(String text) {
+    private static boolean isPlainKey(String text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
             if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_')) {
                 return false;
             }
         }
-        return !text.isEmpty() && !Character.isDigit(text.charAt(0)) && text.charAt(0) != '-' && !reserved(text);
+        return !text.isEmpty() && !Character.isDigit(text.charAt(0)) && text.charAt(0) != '-' && !isReserved(text);
     }
 
-    private static boolean reserved(String text) {
+    private static boolean isReserved(String text) {
         return text.equals("null") || text.equals("true") || text.equals("false");
     }
 
-    private static Object scalar(String text) {
+    private static Object parseScalar(String text) {
         if (text.length() >= 2 && text.startsWith(QUOTE) && text.endsWith(QUOTE)) {
             String inner = text.substring(1, text.length() - 1);
             if (inner.contains(QUOTE) || inner.contains("\\")) {
-                throw other();
+                throw unsupported();
             }
             return inner;
         }
@@ -128,17 +128,17 @@
                 return text.equals("true");
             }
             default -> {
-                return number(text);
+                return parseNumber(text);
             }
         }
     }
 
-    private static Object number(String text) {
+    private static Object parseNumber(String text) {
         int points = 0;
         for (int i = 0; i < text.length(); i++) {
             points += text.charAt(i) == '.' ? 1 : 0;
             if (text.charAt(i) != '.' && !Character.isDigit(text.charAt(i))) {
-                throw other();
+                throw unsupported();
             }
         }
         if (text.isEmpty()
@@ -147,7 +147,7 @@
                 || text.startsWith(".")
                 || text.endsWith(".")
                 || text.length() > 1 && text.startsWith("0") && points == 0) {
-            throw other();
+            throw unsupported();
         }
         if (points == 1) {
             return Double.valueOf(text);
--- a/src/main/java/gorsemast/node/RandomSeed.java
+++ b/src/main/java/gorsemast/node/RandomSeed.java
@@ -6,15 +6,15 @@
 import java.nio.file.Path;
 
 /**
- * Numbers that no other process draws too, for ids and seeds; nothing secret rests on them. From the system's own source:
- * the library's generator would load and set up the providers of all ciphers first.
+ * Random numbers for ids and seeds that differ between processes; not for secrets. They come from the operating system's
+ * device, as {@code SecureRandom} would first load and set up all security providers.
  */
 public final class RandomSeed {
     private static final Path SOURCE = Path.of("/dev/urandom");
 
     private RandomSeed() {}
 
-    /** A fresh one. */
+    /** Returns a new random number; without the device, one derived from time and process id. */
     public static long next() {
         try (DataInputStream in = new DataInputStream(Files.newInputStream(SOURCE))) {
             return in.readLong();
--- a/src/main/java/gorsemast/node/Settings.java
+++ b/src/main/java/gorsemast/node/Settings.java
@@ -20,27 +20,27 @@
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
 /**
- * What one process is told at its start: who it is, where it listens, whom it may ask first, and the figures of the
- * rules. Fields that are not known are let be, as the platform adds some; those that are known are checked.
+ * The settings of one process: its identity, the addresses it listens on, its seed nodes, and the timing bounds of the
+ * rules. Unknown fields are ignored, as the platform adds some; known fields are validated.
  *
  * @param name the machine's name
- * @param ip the machine's address, in numbers
- * @param zone where it stands
+ * @param ip the machine's numeric address
+ * @param zone the machine's zone
  * @param zones all zones, in the file's order, with their regions
- * @param listenAddresses where what it serves is asked for, by word ({@code front}, {@code ready}, {@code control})
- * @param firstPort the first of the ports between processes
- * @param lastPort the last of them
- * @param seedNodes addresses of core machines as the operator's list had them
+ * @param listenAddresses the public listeners by name ({@code front}, {@code ready}, {@code control})
+ * @param firstPort the first of the internal ports
+ * @param lastPort the last of the internal ports
+ * @param seedNodes addresses of core machines in the operator's list
  * @param firstBoot whether the whole system starts for the first time, with empty disks
- * @param dataDir where it may keep files; null where it has no disk
- * @param heartbeatMicros how often servers tell of themselves
- * @param tolerance what may be lost at the same time with every rule kept
- * @param lossCounted whether this machine's loss is one of those
- * @param activeContracts the parts of the rules in force
- * @param configMode which of two configurations holds; {@code highest}: the one of the higher version
- * @param fileDescriptors how many it may have open
- * @param linkMegabits a second that its link carries; 0 where nothing is said
- * @param timingBounds figures of the rules: times in microseconds, numbers as they are
+ * @param dataDir the directory for files; null if the process has no disk
+ * @param heartbeatMicros the interval of servers' heartbeats
+ * @param tolerance the losses that are tolerated at the same time
+ * @param lossCounted whether the loss of this machine counts among those
+ * @param activeContracts the parts of the rules that apply
+ * @param configMode which of two configurations wins; {@code highest}: the one with the higher version
+ * @param fileDescriptors the number of file descriptors available
+ * @param linkMegabits the bandwidth of its network link in megabits per second; 0 if unknown
+ * @param timingBounds bounds of the rules: times in microseconds, numbers unchanged
  */
 public record Settings(
         String name,
@@ -61,53 +61,55 @@
         int fileDescriptors,
         double linkMegabits,
         Map<String, Double> timingBounds) {
-    /** Where the path of the file stands. */
+    /** The environment variable with the path of the file. */
     public static final String ENVIRONMENT_VARIABLE = "GORSEMAST_CONFIG";
 
-    /** The {@code configMode} that the system keeps; the store warns of another. */
+    /** The only {@code configMode} that is implemented; the store warns of others. */
     public static final String HIGHEST = "highest";
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
     private static final double BYTES_PER_MEGABIT = 125_000;
-    /** More members than that could not be asked for sensibly: five machines lost at once want eleven. */
-    private static final int MOST_LOSSES = 5;
+    /** Five tolerated losses already need eleven members; more are not sensible. */
+    private static final int MAX_LOSSES = 5;
 
-    /** Bytes a second that its link carries; infinite where nothing is said. */
+    /** Returns the bandwidth of the network link in bytes per second; infinite if unknown. */
     public double linkBytesPerSecond() {
         return linkMegabits <= 0 ? Double.POSITIVE_INFINITY : linkMegabits * BYTES_PER_MEGABIT;
     }
 
-    /** The seeds' machines, without ports; a new set. */
+    /** Returns the addresses of the seed nodes without ports, as a new set. */
     public Set<String> seedIps() {
         Set<String> ips = new LinkedHashSet<>();
         seedNodes.forEach(seed -> ips.add(seed.getAddress().getHostAddress()));
         return ips;
     }
 
-    /** Reads the file; throws {@link SettingsException} naming what can't be worked with. */
+    /** Reads the file; throws {@link SettingsException} with the key that is invalid. */
     public static Settings read(Path file) {
         try {
             return parse(Files.readString(file, StandardCharsets.UTF_8));
         } catch (IOException e) {
-            throw new SettingsException(Code.UNREADABLE, file.toString(), "can't be read: " + e.getMessage());
+            throw new SettingsException(Code.UNREADABLE, file.toString(), "cannot be read: " + e.getMessage());
         }
     }
 
-    /** Reads settings from their text. */
+    /** Parses settings from their text. */
     public static Settings parse(String text) {
-        Object whole = PlainYaml.read(text);
+        Object document = PlainYaml.read(text);
         try {
-            whole = whole != null ? whole : new Load(LoadSettings.builder().build()).loadFromString(text);
+            document = document != null
+                    ? document
+                    : new Load(LoadSettings.builder().build()).loadFromString(text);
         } catch (MarkedYamlEngineException e) {
-            String at = e.getProblemMark()
+            String place = e.getProblemMark()
                     .map(mark -> "line " + (mark.getLine() + 1) + ", column " + (mark.getColumn() + 1))
                     .orElse("?");
-            throw new SettingsException(Code.UNREADABLE, at, e.getProblem());
+            throw new SettingsException(Code.UNREADABLE, place, e.getProblem());
         } catch (YamlEngineException e) {
             throw new SettingsException(Code.UNREADABLE, "file", e.getMessage());
         }
-        if (!(whole instanceof Map<?, ?> map)) {
-            throw new SettingsException(Code.WRONG_TYPE, "file", "is no mapping");
+        if (!(document instanceof Map<?, ?> map)) {
+            throw new SettingsException(Code.WRONG_TYPE, "file", "is not a mapping");
         }
         Section root = new Section("", map);
         List<Object> ports = root.list("internalPorts");
@@ -118,76 +120,79 @@
                 || last > 65_535
                 || first > last) {
             throw new SettingsException(
-                    Code.OUT_OF_RANGE, "internalPorts", "wants two ports, the first not above the second");
+                    Code.OUT_OF_RANGE, "internalPorts", "must be two ports, the first not above the second");
         }
         Map<String, String> zones = new LinkedHashMap<>();
         root.section("zones").map.forEach((zone, region) -> zones.put(String.valueOf(zone), String.valueOf(region)));
-        Map<String, InetSocketAddress> listens = new TreeMap<>();
-        Section listen = root.section("listenAddrs");
-        listen.map.forEach(
-                (word, address) -> listens.put(String.valueOf(word), listen.address(String.valueOf(word), address)));
-        List<InetSocketAddress> seeds = new ArrayList<>();
+        Map<String, InetSocketAddress> listenAddresses = new TreeMap<>();
+        Section listenSection = root.section("listenAddrs");
+        listenSection.map.forEach((name, address) ->
+                listenAddresses.put(String.valueOf(name), listenSection.address(String.valueOf(name), address)));
+        List<InetSocketAddress> seedNodes = new ArrayList<>();
         for (Object seed : root.list("seedNodes")) {
-            seeds.add(root.address("seedNodes", seed));
+            seedNodes.add(root.address("seedNodes", seed));
         }
         Section limits = root.section("limits");
-        Map<String, Double> bounds = new TreeMap<>();
-        Section given = root.section("timingBounds");
-        given.map.keySet().forEach(key -> bounds.put(String.valueOf(key), given.figure(String.valueOf(key))));
-        Object dir = map.get("dataDir");
+        Map<String, Double> timingBounds = new TreeMap<>();
+        Section boundsSection = root.section("timingBounds");
+        boundsSection
+                .map
+                .keySet()
+                .forEach(key -> timingBounds.put(String.valueOf(key), boundsSection.number(String.valueOf(key))));
+        Object dataDir = map.get("dataDir");
         return new Settings(
                 root.text("nodeName"),
                 root.text("ip"),
                 root.text("zone"),
                 zones,
-                listens,
+                listenAddresses,
                 first,
                 last,
-                seeds,
+                seedNodes,
                 Boolean.TRUE.equals(map.get("initialBoot")),
-                dir == null ? null : Path.of(String.valueOf(dir)),
+                dataDir == null ? null : Path.of(String.valueOf(dataDir)),
                 micros("heartbeat", root.text("heartbeat")),
-                tolerance(root.section("faultTolerance")),
+                parseTolerance(root.section("faultTolerance")),
                 root.flag("lossCounted", true),
                 root.words("activeContracts"),
                 root.map.get("configMode") == null ? HIGHEST : root.text("configMode"),
-                (int) limits.figure("fileDescriptors", 4096),
-                limits.figure("linkMbps", 0),
-                bounds);
+                (int) limits.number("fileDescriptors", 4096),
+                limits.number("linkMbps", 0),
+                timingBounds);
     }
 
-    private static FaultTolerance tolerance(Section section) {
+    private static FaultTolerance parseTolerance(Section section) {
         return new FaultTolerance(
                 section.count("machineLosses", 1), section.count("zones", 0), section.count("regionLosses", 0));
     }
 
-    /** How many copies may be lost at the same time. */
+    /** Returns how many disks may be lost at the same time. */
     public int losses() {
         return tolerance.losses();
     }
 
-    /** The region of the own zone; empty where the file names none. */
+    /** Returns the region of the machine's zone; empty if the file names none. */
     public String region() {
         return zones.getOrDefault(zone, "");
     }
 
-    /** A time of the rules in microseconds, or what holds where the file has none. */
-    public long time(String bound, long otherwise) {
-        Double given = timingBounds.get(bound);
-        return given == null ? otherwise : given.longValue();
+    /** Returns a time bound in microseconds, or the default if the file has none. */
+    public long time(String bound, long defaultValue) {
+        Double value = timingBounds.get(bound);
+        return value == null ? defaultValue : value.longValue();
     }
 
-    /** A number of the rules, or what holds where the file has none. */
-    public double number(String bound, double otherwise) {
-        return timingBounds.getOrDefault(bound, otherwise);
+    /** Returns a numeric bound, or the default if the file has none. */
+    public double number(String bound, double defaultValue) {
+        return timingBounds.getOrDefault(bound, defaultValue);
     }
 
-    /** The number of the own zone among all. */
-    public int zoneIndex(String of) {
-        return Math.max(0, new ArrayList<>(zones.keySet()).indexOf(of));
+    /** Returns the index of a zone among all zones; 0 for an unknown one. */
+    public int zoneIndex(String zoneName) {
+        return Math.max(0, new ArrayList<>(zones.keySet()).indexOf(zoneName));
     }
 
-    /** A time such as {@code 1500ms} or {@code 2.5s} in microseconds. */
+    /** Parses a time such as {@code 1500ms} or {@code 2.5s} into microseconds. */
     public static long micros(String key, String text) {
         int unit = 0;
         while (unit < text.length() && (Character.isDigit(text.charAt(unit)) || text.charAt(unit) == '.')) {
@@ -195,8 +200,8 @@
         }
         double scale =
                 switch (text.substring(unit)) {
-                    case "ms" -> MICROS / 1_000;
-                    case "s" -> MICROS;
+                    case "ms" -> MICROS_PER_SECOND / 1_000;
+                    case "s" -> MICROS_PER_SECOND;
                     default -> 0;
                 };
         try {
@@ -205,21 +210,21 @@
                 return Math.round(number * scale);
             }
         } catch (NumberFormatException e) {
-            // told below, as any other text that is no time
+            // reported below like any other invalid time
         }
         throw new SettingsException(Code.WRONG_TYPE, key, "wants a time such as 1500ms or 2.5s, not \"" + text + '"');
     }
 
-    /** One mapping of the file and the path to it. */
+    /** A mapping in the file, with the path of keys to it. */
     private record Section(String path, Map<?, ?> map) {
-        private String at(String key) {
+        private String fullKey(String key) {
             return path.isEmpty() ? key : path + '.' + key;
         }
 
         String text(String key) {
             Object value = map.get(key);
             if (value == null) {
-                throw new SettingsException(Code.MISSING, at(key), "is missing");
+                throw new SettingsException(Code.MISSING, fullKey(key), "is missing");
             }
             return String.valueOf(value);
         }
@@ -228,55 +233,58 @@
             if (map.get(key) instanceof List<?> list) {
                 return new ArrayList<>(list);
             }
-            throw new SettingsException(map.containsKey(key) ? Code.WRONG_TYPE : Code.MISSING, at(key), "wants a list");
+            throw new SettingsException(
+                    map.containsKey(key) ? Code.WRONG_TYPE : Code.MISSING, fullKey(key), "must be a list");
         }
 
         Section section(String key) {
             Object value = map.get(key);
             if (value == null) {
-                return new Section(at(key), Map.of());
+                return new Section(fullKey(key), Map.of());
             }
             if (value instanceof Map<?, ?> inner) {
-                return new Section(at(key), inner);
+                return new Section(fullKey(key), inner);
             }
-            throw new SettingsException(Code.WRONG_TYPE, at(key), "wants a mapping");
+            throw new SettingsException(Code.WRONG_TYPE, fullKey(key), "must be a mapping");
         }
 
         InetSocketAddress address(String key, Object value) {
             InetSocketAddress address = Address.parse(String.valueOf(value));
             if (address == null) {
-                throw new SettingsException(Code.WRONG_TYPE, at(key), "wants ip:port, not \"" + value + '"');
+                throw new SettingsException(Code.WRONG_TYPE, fullKey(key), "must be ip:port, not \"" + value + '"');
             }
             return address;
         }
 
-        /** A whole number of machines, zones or regions that may be lost. */
-        int count(String key, int otherwise) {
+        /** Returns a number of tolerated losses of machines, zones or regions. */
+        int count(String key, int defaultValue) {
             Object value = map.get(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             if (!(value instanceof Integer count)) {
-                throw new SettingsException(Code.WRONG_TYPE, at(key), "wants a whole number, not \"" + value + '"');
+                throw new SettingsException(
+                        Code.WRONG_TYPE, fullKey(key), "must be a whole number, not \"" + value + '"');
             }
-            if (count < 0 || count > MOST_LOSSES) {
-                throw new SettingsException(Code.OUT_OF_RANGE, at(key), "wants 0 to " + MOST_LOSSES + ", not " + count);
+            if (count < 0 || count > MAX_LOSSES) {
+                throw new SettingsException(
+                        Code.OUT_OF_RANGE, fullKey(key), "must be 0 to " + MAX_LOSSES + ", not " + count);
             }
             return count;
         }
 
-        boolean flag(String key, boolean otherwise) {
+        boolean flag(String key, boolean defaultValue) {
             Object value = map.get(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             if (value instanceof Boolean flag) {
                 return flag;
             }
-            throw new SettingsException(Code.WRONG_TYPE, at(key), "wants true or false, not \"" + value + '"');
+            throw new SettingsException(Code.WRONG_TYPE, fullKey(key), "must be true or false, not \"" + value + '"');
         }
 
-        /** A list of words; empty where there is none. */
+        /** Returns a list of strings, empty if the key is missing. */
         Set<String> words(String key) {
             Set<String> words = new LinkedHashSet<>();
             if (map.get(key) != null) {
@@ -285,19 +293,19 @@
             return words;
         }
 
-        double figure(String key, double otherwise) {
-            return map.get(key) == null ? otherwise : figure(key);
+        double number(String key, double defaultValue) {
+            return map.get(key) == null ? defaultValue : number(key);
         }
 
-        double figure(String key) {
+        double number(String key) {
             Object value = map.get(key);
             if (value instanceof Number number) {
                 return number.doubleValue();
             }
-            if (value instanceof Boolean yes) {
-                return yes ? 1 : 0;
+            if (value instanceof Boolean flag) {
+                return flag ? 1 : 0;
             }
-            return micros(at(key), String.valueOf(value));
+            return micros(fullKey(key), String.valueOf(value));
         }
     }
 }
--- a/src/main/java/gorsemast/node/SettingsException.java
+++ b/src/main/java/gorsemast/node/SettingsException.java
@@ -1,10 +1,10 @@
 package gorsemast.node;
 
-/** Settings that can't be worked with: why, and at which key. */
+/** Reports invalid settings, with the reason and the key. */
 public final class SettingsException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong. */
+    /** The kinds of errors. */
     public enum Code {
         UNREADABLE,
         MISSING,
@@ -15,18 +15,18 @@
     private final Code code;
     private final String key;
 
-    SettingsException(Code code, String key, String text) {
-        super(key + ": " + text);
+    SettingsException(Code code, String key, String message) {
+        super(key + ": " + message);
         this.code = code;
         this.key = key;
     }
 
-    /** What is wrong. */
+    /** Returns the kind of error. */
     public Code code() {
         return code;
     }
 
-    /** Where, as a path of keys with dots. */
+    /** Returns the path of keys to the invalid value, separated by dots. */
     public String key() {
         return key;
     }
--- a/src/main/java/gorsemast/node/package-info.java
+++ b/src/main/java/gorsemast/node/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings: what the platform tells each process of the delivery network, read strictly from its YAML file, and the
- * log that all three programs write.
+ * The settings that the platform gives to each process of the delivery network, validated as they are read from the YAML
+ * file, and the interface of the programs.
  */
 package gorsemast.node;
--- a/src/main/java/gorsemast/peer/Gossip.java
+++ b/src/main/java/gorsemast/peer/Gossip.java
@@ -14,166 +14,168 @@
 import java.util.function.LongSupplier;
 
 /**
- * Passes news on over the links of one process and mends gaps.
+ * Spreads updates over the links of one process and repairs gaps.
  *
- * <p><b>Idea.</b> What is new is passed on at once to whoever may not have it: a registry tells the other registries
- * what it did not have from one of them, and its proxies everything; a proxy tells the few others that it keeps links
- * to. Digests go over each link when it comes up and to one more link at each tick; parts that differ are mended both
- * ways. So a lost record, a cut or a freeze costs a tick and a way. A proxy that is catching up asks its registries at each
- * tick, and is answered: a registry's own turn comes seldom where it has many links. One thread.
+ * <p>A new entry is forwarded at once to the processes that may lack it: a registry forwards to the other registries what
+ * it did not receive from one of them, and everything to its proxies; a proxy forwards to the few processes it keeps links
+ * to. Digests are sent over each link when it comes up and over one more link at each tick; buckets that differ are
+ * repaired in both directions. So a lost message, a partition or a freeze costs a tick and a round trip. A proxy that is
+ * catching up requests a digest from its registries at each tick, because a registry with many links reaches each one only
+ * rarely by its own ticks. Not thread-safe.
  */
 public final class Gossip {
-    /** A digest makes a process ready only as the answer to a question asked within this, by the asker's own clock. */
-    static final long ANSWER_MICROS = 1_000_000;
+    /** A digest makes a process ready only if it replies to a request this recent, by the requester's own clock. */
+    static final long MAX_REPLY_AGE_MICROS = 1_000_000;
 
-    private final GossipState board;
-    private final Neighbours links;
+    private final GossipState state;
+    private final Neighbours neighbours;
     private final Program program;
     private final LongSupplier clock;
     private final BooleanSupplier synced;
     private final Consumer<Entry> changed;
     private boolean caughtUp;
-    private long refusedAt = Long.MIN_VALUE / 2;
-    private int turn;
+    private long unsyncedReplyAt = Long.MIN_VALUE / 2;
+    private int nextNeighbour;
 
     /**
-     * For one process.
+     * Creates the gossip of one process.
      *
-     * @param synced whether this process vouches for its news (a registry), or is ready (a proxy)
-     * @param changed told of each item that is new here, after it was merged
+     * @param synced whether this process confirms that its state is current (a registry), or is ready (a proxy)
+     * @param changed receives each entry that is new here, after it was merged
      */
     public Gossip(
             Program program,
-            GossipState board,
-            Neighbours links,
+            GossipState state,
+            Neighbours neighbours,
             LongSupplier clock,
             BooleanSupplier synced,
             Consumer<Entry> changed) {
         this.program = program;
-        this.board = board;
-        this.links = links;
+        this.state = state;
+        this.neighbours = neighbours;
         this.clock = clock;
         this.synced = synced;
         this.changed = changed;
     }
 
-    /** A link is up. */
-    public void connected(Neighbour link) {
-        link.send(digest(0));
+    /** Sends a digest to a neighbour that has connected. */
+    public void connected(Neighbour neighbour) {
+        neighbour.send(digest(0));
     }
 
-    private Digest digest(long answers) {
-        boolean vouches = synced.getAsBoolean();
-        long asks =
-                program == Program.PROXY && !vouches && answers == 0 ? clock.getAsLong() : 0; // no answer asks again
-        return new Digest(vouches, asks, answers, board.digest());
+    private Digest digest(long inReplyTo) {
+        boolean isSynced = synced.getAsBoolean();
+        // A reply requests no reply.
+        long requestTime = program == Program.PROXY && !isSynced && inReplyTo == 0 ? clock.getAsLong() : 0;
+        return new Digest(isSynced, requestTime, inReplyTo, state.digest());
     }
 
-    /** Something of this process's own, to be known by all. Returns whether it was news. */
-    public boolean publish(Entry item) {
-        return publish(item, 0);
+    /** Publishes an entry of this process; returns whether it was new. */
+    public boolean publish(Entry entry) {
+        return publish(entry, 0);
     }
 
-    /** The same; registries on other machines are to confirm this order, unless it is 0. */
-    public boolean publish(Entry item, long order) {
-        boolean fresh = board.merge(clock.getAsLong(), item);
-        if (fresh || order != 0) {
-            Updates news = new Updates(order, List.of(item));
-            for (Neighbour link : links.connected()) {
-                if (item.kind().reconciled() || link.hello().program() == Program.REGISTRY) {
-                    link.send(news);
+    /** Publishes an entry that registries on other machines confirm under this command id, unless it is 0. */
+    public boolean publish(Entry entry, long commandId) {
+        boolean fresh = state.merge(clock.getAsLong(), entry);
+        if (fresh || commandId != 0) {
+            Updates updates = new Updates(commandId, List.of(entry));
+            for (Neighbour neighbour : neighbours.connected()) {
+                if (entry.kind().reconciled() || neighbour.hello().program() == Program.REGISTRY) {
+                    neighbour.send(updates);
                 }
             }
         }
         if (fresh) {
-            changed.accept(item);
+            changed.accept(entry);
         }
         return fresh;
     }
 
-    /** Takes what is about news; returns whether it was. */
-    public boolean received(Neighbour link, PeerMessage record) {
-        if (record instanceof Digest digest) {
-            int parts = board.differingBuckets(digest.buckets());
-            boolean fresh = digest.inReplyTo() != 0 && clock.getAsLong() - digest.inReplyTo() < ANSWER_MICROS;
-            if (fresh && link.hello().program() == Program.REGISTRY) {
-                // Looked at as it comes: a moment later one of the two may have something newer.
-                caughtUp |= digest.synced() && parts == 0;
-                refusedAt = digest.synced() ? Long.MIN_VALUE / 2 : clock.getAsLong();
+    /** Handles messages of the gossip protocol; returns whether this was one. */
+    public boolean received(Neighbour neighbour, PeerMessage message) {
+        if (message instanceof Digest digest) {
+            int differing = state.differingBuckets(digest.buckets());
+            boolean fresh = digest.inReplyTo() != 0 && clock.getAsLong() - digest.inReplyTo() < MAX_REPLY_AGE_MICROS;
+            if (fresh && neighbour.hello().program() == Program.REGISTRY) {
+                // Compared on arrival: a moment later either side may have something newer.
+                caughtUp |= digest.synced() && differing == 0;
+                unsyncedReplyAt = digest.synced() ? Long.MIN_VALUE / 2 : clock.getAsLong();
             }
             if (digest.requestTime() != 0) {
-                link.send(digest(digest.requestTime())); // whoever has just started waits for this, among however many
+                // A starting process waits for this, however many links there are.
+                neighbour.send(digest(digest.requestTime()));
             }
-            if (parts != 0) {
-                link.send(new Summary(parts, true, board.versions(parts)));
+            if (differing != 0) {
+                neighbour.send(new Summary(differing, true, state.versions(differing)));
             }
-        } else if (record instanceof Summary summary) {
-            List<Entry> newer = board.newerThan(summary.buckets(), summary.versions());
+        } else if (message instanceof Summary summary) {
+            List<Entry> newer = state.newerThan(summary.buckets(), summary.versions());
             if (!newer.isEmpty()) {
-                link.send(new Updates(0, newer));
+                neighbour.send(new Updates(0, newer));
             }
-            if (summary.asks() && !board.missing(summary.versions()).isEmpty()) {
-                link.send(new Summary(summary.buckets(), false, board.versions(summary.buckets())));
+            if (summary.requestMissing() && !state.missing(summary.versions()).isEmpty()) {
+                neighbour.send(new Summary(summary.buckets(), false, state.versions(summary.buckets())));
             }
-        } else if (record instanceof Updates news) {
-            take(link, news);
+        } else if (message instanceof Updates updates) {
+            receiveUpdates(neighbour, updates);
         } else {
             return false;
         }
         return true;
     }
 
-    private void take(Neighbour from, Updates news) {
+    private void receiveUpdates(Neighbour sender, Updates updates) {
         long now = clock.getAsLong();
         List<Entry> fresh = new ArrayList<>();
-        for (Entry item : news.entries()) {
-            if (board.merge(now, item)) {
-                fresh.add(item);
+        for (Entry entry : updates.entries()) {
+            if (state.merge(now, entry)) {
+                fresh.add(entry);
             }
         }
         if (fresh.isEmpty()) {
             return;
         }
-        // What is told anew all the time ends at the registries, which tell proxies one sum of it.
+        // Speed reports go to registries only, which send proxies one aggregate of them.
         Updates all = new Updates(0, fresh);
-        Updates lasting = new Updates(
-                0, fresh.stream().filter(item -> item.kind().reconciled()).toList());
-        boolean fromRegistry = from.hello().program() == Program.REGISTRY;
-        for (Neighbour link : links.connected()) {
-            boolean toRegistry = link.hello().program() == Program.REGISTRY;
-            Updates on = toRegistry ? all : lasting;
-            if (!on.entries().isEmpty()
-                    && link != from
-                    && !link.hello().ip().equals(from.hello().ip())
+        Updates reconciled = new Updates(
+                0, fresh.stream().filter(entry -> entry.kind().reconciled()).toList());
+        boolean fromRegistry = sender.hello().program() == Program.REGISTRY;
+        for (Neighbour neighbour : neighbours.connected()) {
+            boolean toRegistry = neighbour.hello().program() == Program.REGISTRY;
+            Updates outgoing = toRegistry ? all : reconciled;
+            if (!outgoing.entries().isEmpty()
+                    && neighbour != sender
+                    && !neighbour.hello().ip().equals(sender.hello().ip())
                     && !(fromRegistry && toRegistry)) {
-                link.send(on);
+                neighbour.send(outgoing);
             }
         }
         fresh.forEach(changed);
         if (program == Program.PROXY && fromRegistry && !synced.getAsBoolean()) {
-            from.send(digest(0)); // whether that was all is known a way later, not a tick later
+            sender.send(digest(0)); // learns whether that was all after one round trip instead of a tick
         }
     }
 
-    /** Tells one link after the other what is known here. */
+    /** Sends a digest to the next neighbour, or to all registries while this proxy is not synced. */
     public void tick() {
-        Collection<Neighbour> up = links.connected();
+        Collection<Neighbour> up = neighbours.connected();
         if (program == Program.PROXY && !synced.getAsBoolean()) {
-            Digest mine = digest(0);
-            links.connected(Program.REGISTRY).forEach(link -> link.send(mine));
+            Digest digest = digest(0);
+            neighbours.connected(Program.REGISTRY).forEach(neighbour -> neighbour.send(digest));
         } else if (!up.isEmpty()) {
             List<Neighbour> all = new ArrayList<>(up);
-            all.get(Math.floorMod(turn++, all.size())).send(digest(0));
+            all.get(Math.floorMod(nextNeighbour++, all.size())).send(digest(0));
         }
     }
 
-    /** Whether this process has once held just what a registry held that vouched for it when it was asked. */
+    /** Returns whether this process once held exactly the state of a registry that confirmed it as current. */
     public boolean caughtUp() {
         return caughtUp;
     }
 
-    /** Whether the last registry that answered of late does not vouch for what it holds. */
+    /** Returns whether the last registry that replied recently did not confirm its state as current. */
     public boolean registryUnsynced() {
-        return clock.getAsLong() - refusedAt < ANSWER_MICROS;
+        return clock.getAsLong() - unsyncedReplyAt < MAX_REPLY_AGE_MICROS;
     }
 }
--- a/src/main/java/gorsemast/peer/Link.java
+++ b/src/main/java/gorsemast/peer/Link.java
@@ -15,78 +15,78 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection to another process of the system, either way. It is up once both sides have said who they are; it is
- * closed when nothing has come for {@link #IDLE_TIMEOUT_MICROS}, as a cut says nothing, and whoever wants it dials again.
- * All of it runs on its channel's event loop.
+ * A connection to another process of the system, dialled by either side. It is up once the other side has sent its
+ * {@link PeerMessage.Hello}. It is closed when nothing arrived for {@link #IDLE_TIMEOUT_MICROS}, as a partition gives no
+ * other sign, and the side that wants it dials again. Runs on its channel's event loop.
  */
 public final class Link extends SimpleChannelInboundHandler<ByteBuf> implements Neighbour {
-    /** A sign of life goes out this often. */
+    /** The interval of pings. */
     static final long PING_INTERVAL_MICROS = 500_000;
-    /** After so long without one the other side is taken for gone: three of them, and the way. */
+    /** Without any message for this time the other side is considered gone: three pings and the latency. */
     static final long IDLE_TIMEOUT_MICROS = 1_800_000;
-    /** A peer that reads nothing makes this process keep so much at most. */
-    private static final long MOST_WAITING = 96L << 20;
+    /** The most bytes buffered for a peer that does not read. */
+    private static final long MAX_PENDING_BYTES = 96L << 20;
 
     private static final Log LOG = new Log("peer");
 
-    /** Who is told of links. */
+    /** Receives the events of links. */
     public interface Receiver {
-        /** The other side has said who it is. */
-        void connected(Neighbour one);
+        /** The other side has sent its {@link PeerMessage.Hello}. */
+        void connected(Neighbour neighbour);
 
-        /** Something has come. */
-        void received(Neighbour one, PeerMessage record);
+        /** A message has arrived. */
+        void received(Neighbour neighbour, PeerMessage message);
 
-        /** It is over; told once, and only of links that were up. */
-        void disconnected(Neighbour one);
+        /** The link has ended; called once, and only for links that were up. */
+        void disconnected(Neighbour neighbour);
     }
 
-    private final Links owner;
+    private final Links links;
     private final InetSocketAddress dialled;
     private Channel channel;
     private PeerMessage.Hello peer;
-    private long heard;
-    private ScheduledFuture<?> pings;
+    private long lastReceivedAt;
+    private ScheduledFuture<?> pingTask;
 
-    Link(Links owner, InetSocketAddress dialled) {
-        this.owner = owner;
+    Link(Links links, InetSocketAddress dialled) {
+        this.links = links;
         this.dialled = dialled;
     }
 
-    /** Whom it leads to; null until it is up. */
+    /** Returns the identity of the other side; null until the link is up. */
     @Override
     public PeerMessage.Hello hello() {
         return peer;
     }
 
-    /** What was dialled; null where the other side did. */
+    /** Returns the dialled address; null if the other side dialled. */
     public InetSocketAddress dialled() {
         return dialled;
     }
 
     @Override
-    public void send(PeerMessage record) {
+    public void send(PeerMessage message) {
         if (channel == null || !channel.isActive()) {
             return;
         }
         if (channel.unsafe().outboundBuffer() != null
-                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MOST_WAITING) {
+                && channel.unsafe().outboundBuffer().totalPendingWriteBytes() > MAX_PENDING_BYTES) {
             close();
             return;
         }
         ByteBuf buffer = channel.alloc().heapBuffer();
         buffer.writeInt(0);
         try (DataOutputStream out = new DataOutputStream(new ByteBufOutputStream(buffer))) {
-            record.write(out, owner.now());
+            message.write(out, links.now());
         } catch (IOException e) {
             buffer.release();
-            throw new IllegalStateException(e); // memory does not fail
+            throw new IllegalStateException(e); // a byte array does not fail
         }
         buffer.setInt(0, buffer.readableBytes() - Integer.BYTES);
         channel.writeAndFlush(buffer);
     }
 
-    /** Ends it. */
+    /** Closes the link. */
     public void close() {
         if (channel != null) {
             channel.close();
@@ -96,14 +96,14 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        heard = owner.now();
-        send(owner.hello());
-        pings = channel.eventLoop()
+        lastReceivedAt = links.now();
+        send(links.hello());
+        pingTask = channel.eventLoop()
                 .scheduleWithFixedDelay(this::ping, PING_INTERVAL_MICROS, PING_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
     }
 
     private void ping() {
-        if (owner.now() - heard > IDLE_TIMEOUT_MICROS) {
+        if (links.now() - lastReceivedAt > IDLE_TIMEOUT_MICROS) {
             close();
         } else {
             send(new PeerMessage.Ping());
@@ -112,44 +112,44 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-        heard = owner.now();
-        PeerMessage record;
+        lastReceivedAt = links.now();
+        PeerMessage message;
         try (DataInputStream in = new DataInputStream(new ByteBufInputStream(frame))) {
-            record = PeerMessage.read(in, heard);
+            message = PeerMessage.read(in, lastReceivedAt);
         } catch (IOException e) {
-            LOG.warn("closes " + ctx.channel().remoteAddress() + ", which sent no record: " + e.getMessage());
+            LOG.warn("closing link to " + ctx.channel().remoteAddress() + ", invalid message: " + e.getMessage());
             close();
             return;
         }
         try {
-            if (record instanceof PeerMessage.Hello hello) {
+            if (message instanceof PeerMessage.Hello hello) {
                 if (peer == null) {
                     peer = hello;
-                    owner.up(this);
+                    links.connected(this);
                 }
             } else if (peer == null) {
-                LOG.warn("closes " + ctx.channel().remoteAddress() + ", which did not say who it is");
+                LOG.warn("closing link to " + ctx.channel().remoteAddress() + ", first message is not a hello");
                 close();
-            } else if (!(record instanceof PeerMessage.Ping)) {
-                owner.receiver().received(this, record);
+            } else if (!(message instanceof PeerMessage.Ping)) {
+                links.receiver().received(this, message);
             }
         } catch (RuntimeException e) {
-            LOG.internalError(e); // one faulty record must not take the link, or the process, with it
+            LOG.internalError(e); // one faulty message must not end the link or the process
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        if (pings != null) {
-            pings.cancel(false);
+        if (pingTask != null) {
+            pingTask.cancel(false);
         }
-        owner.ended(this);
+        links.closed(this);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            LOG.warn("closes " + ctx.channel().remoteAddress() + ": " + cause.getMessage());
+            LOG.warn("closing link to " + ctx.channel().remoteAddress() + ": " + cause.getMessage());
         }
         ctx.close();
     }
--- a/src/main/java/gorsemast/peer/Links.java
+++ b/src/main/java/gorsemast/peer/Links.java
@@ -22,30 +22,30 @@
 import java.util.function.Supplier;
 
 /**
- * All links of one process: those that others dial, and those that it keeps itself to a set of addresses, dialled anew
- * when they end. All of it runs on one event loop.
+ * All links of one process: those that others dial, and those that it keeps itself to a set of addresses, redialled when
+ * they end. Runs on one event loop.
  */
 public final class Links implements Neighbours {
     private static final int CONNECT_MILLIS = 700;
-    /** How long after a failure the same address is dialled again: what has just started may listen any moment. */
-    private static final long FIRST_AGAIN_MICROS = 30_000;
+    /** The delay after the first failure; short, as a process that has just started may listen any moment. */
+    private static final long MIN_RETRY_MICROS = 30_000;
 
-    private static final long AGAIN_MICROS = 300_000;
+    private static final long MAX_RETRY_MICROS = 300_000;
     private static final int LENGTH_BYTES = 4;
 
     private final EventLoop loop;
     private final Supplier<PeerMessage.Hello> hello;
     private final LongSupplier clock;
     private final Link.Receiver receiver;
-    private final Set<Link> up = new LinkedHashSet<>();
+    private final Set<Link> connected = new LinkedHashSet<>();
     private final Map<InetSocketAddress, Link> dialled = new HashMap<>();
-    /** After how long an address that has not answered of late is dialled again; doubled at each failure in a row. */
-    private final Map<InetSocketAddress, Long> again = new HashMap<>();
+    /** The delay before an unreachable address is redialled; doubled at each failure in a row. */
+    private final Map<InetSocketAddress, Long> retryDelays = new HashMap<>();
 
-    private Set<InetSocketAddress> wanted = Set.of();
+    private Set<InetSocketAddress> targets = Set.of();
     private Channel listener;
 
-    /** Links of the process that {@code hello} names; {@code clock} in microseconds. */
+    /** Creates the links of the process identified by {@code hello}; {@code clock} in microseconds. */
     public Links(EventLoop loop, LongSupplier clock, Supplier<PeerMessage.Hello> hello, Link.Receiver receiver) {
         this.loop = loop;
         this.clock = clock;
@@ -53,34 +53,34 @@
         this.receiver = receiver;
     }
 
-    /** Listens for others; not on the loop. */
-    public void listen(InetSocketAddress at) throws IOException {
-        listener = Transport.listen(loop, at, new ChannelInitializer<Channel>() {
+    /** Starts to listen for others; not called on the event loop. */
+    public void listen(InetSocketAddress address) throws IOException {
+        listener = Transport.listen(loop, address, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
-                fill(ch, new Link(Links.this, null));
+                initPipeline(ch, new Link(Links.this, null));
             }
         });
     }
 
-    private static void fill(Channel ch, Link link) {
+    private static void initPipeline(Channel ch, Link link) {
         ch.pipeline()
                 .addLast(
                         new LengthFieldBasedFrameDecoder(PeerMessage.MAX_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                         link);
     }
 
-    /** Keeps links to these addresses from now on, and ends those that it has dialled to others; on the loop. */
+    /** Keeps links to these addresses from now on and closes dialled links to others; called on the event loop. */
     public void setTargets(Collection<InetSocketAddress> addresses) {
-        wanted = Set.copyOf(addresses);
-        again.keySet().retainAll(wanted);
+        targets = Set.copyOf(addresses);
+        retryDelays.keySet().retainAll(targets);
         for (InetSocketAddress address : List.copyOf(dialled.keySet())) {
-            if (!wanted.contains(address)) {
+            if (!targets.contains(address)) {
                 Link link = dialled.remove(address);
                 link.close();
             }
         }
-        for (InetSocketAddress address : wanted) {
+        for (InetSocketAddress address : targets) {
             if (!dialled.containsKey(address)) {
                 dial(address);
             }
@@ -99,43 +99,43 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        fill(ch, link);
+                        initPipeline(ch, link);
                     }
                 })
                 .connect(address)
                 .addListener(done -> {
                     if (!done.isSuccess()) {
-                        ended(link);
+                        closed(link);
                     } else if (dialled.get(address) != link) {
                         link.close();
                     }
                 });
     }
 
-    void up(Link link) {
-        up.add(link);
-        again.remove(link.dialled());
+    void connected(Link link) {
+        connected.add(link);
+        retryDelays.remove(link.dialled());
         receiver.connected(link);
     }
 
-    void ended(Link link) {
-        if (up.remove(link)) {
+    void closed(Link link) {
+        if (connected.remove(link)) {
             receiver.disconnected(link);
         }
         InetSocketAddress address = link.dialled();
         if (address != null && dialled.get(address) == link) {
-            long pause =
-                    again.merge(address, FIRST_AGAIN_MICROS, (before, first) -> Math.min(AGAIN_MICROS, 2 * before));
+            long delay = retryDelays.merge(
+                    address, MIN_RETRY_MICROS, (previous, first) -> Math.min(MAX_RETRY_MICROS, 2 * previous));
             loop.schedule(
                     () -> {
                         if (dialled.get(address) == link) {
                             dialled.remove(address);
-                            if (wanted.contains(address)) {
+                            if (targets.contains(address)) {
                                 dial(address);
                             }
                         }
                     },
-                    pause,
+                    delay,
                     TimeUnit.MICROSECONDS);
         }
     }
@@ -154,16 +154,16 @@
 
     @Override
     public Collection<Neighbour> connected() {
-        return new ArrayList<>(up);
+        return new ArrayList<>(connected);
     }
 
-    /** Ends all. */
+    /** Closes all links and the listener. */
     public void close() {
-        wanted = Set.of();
+        targets = Set.of();
         if (listener != null) {
             listener.close();
         }
         dialled.clear();
-        List.copyOf(up).forEach(Link::close);
+        List.copyOf(connected).forEach(Link::close);
     }
 }
--- a/src/main/java/gorsemast/peer/Neighbour.java
+++ b/src/main/java/gorsemast/peer/Neighbour.java
@@ -1,10 +1,10 @@
 package gorsemast.peer;
 
-/** Another process of the system, for as long as it is reached; on its holder's thread. */
+/** A connected process of the system; used on the thread of the process that holds it. */
 public interface Neighbour {
-    /** Who it is. */
+    /** Returns its identity. */
     PeerMessage.Hello hello();
 
-    /** Sends a record; it is lost where it is reached no more before that has arrived. */
+    /** Sends a message, which is lost if the link ends before it arrives. */
     void send(PeerMessage record);
 }
--- a/src/main/java/gorsemast/peer/Neighbours.java
+++ b/src/main/java/gorsemast/peer/Neighbours.java
@@ -3,23 +3,23 @@
 import java.util.Collection;
 import java.util.List;
 
-/** All processes that one is linked to now. Decisions are made over these, whatever carries the records. */
+/** The processes that one is linked to, independent of the transport of messages. */
 public interface Neighbours {
-    /** All, those linked first first; a copy. */
+    /** Returns all as a copy, in the order in which they connected. */
     Collection<Neighbour> connected();
 
-    /** Those that run this program. */
+    /** Returns those that run this program. */
     default List<Neighbour> connected(PeerMessage.Program program) {
         return connected().stream()
-                .filter(one -> one.hello().program() == program)
+                .filter(neighbour -> neighbour.hello().program() == program)
                 .toList();
     }
 
-    /** The process of this program on that machine; null where it is not reached. */
+    /** Returns the process of this program on that machine, or null if it is not connected. */
     default Neighbour find(PeerMessage.Program program, String ip) {
-        for (Neighbour one : connected()) {
-            if (one.hello().program() == program && one.hello().ip().equals(ip)) {
-                return one;
+        for (Neighbour neighbour : connected()) {
+            if (neighbour.hello().program() == program && neighbour.hello().ip().equals(ip)) {
+                return neighbour;
             }
         }
         return null;
--- a/src/main/java/gorsemast/peer/PeerMessage.java
+++ b/src/main/java/gorsemast/peer/PeerMessage.java
@@ -15,101 +15,103 @@
 import java.util.List;
 import java.util.Map;
 
-/** What processes say to each other over a link. Values; any thread. */
+/** The messages between processes over a link, and their codec. Immutable. */
 public sealed interface PeerMessage {
-    /** Programs, as they name themselves. */
+    /** The programs of the system. */
     enum Program {
         PROXY,
         REGISTRY,
         STORE
     }
 
-    /** The first word on each link, from both sides. */
+    /** The first message on each link, from both sides: the identity of the sender. */
     record Hello(Program program, String ip, String zone, String controlAddress, long incarnation)
             implements PeerMessage {}
 
-    /** A sign of life. */
+    /** A keep-alive. */
     record Ping() implements PeerMessage {}
 
     /**
-     * All news in short.
+     * The digest of the sender's gossip state.
      *
-     * @param synced whether the sender vouches for its news now
-     * @param requestTime the sender's time where it wants the other's digest back, else 0
-     * @param inReplyTo the {@code requestTime} of what this is an answer to, else 0
+     * @param synced whether the sender confirms that its state is current
+     * @param requestTime the sender's time if it requests the other's digest, else 0
+     * @param inReplyTo the {@code requestTime} of the request that this replies to, else 0
      */
     record Digest(boolean synced, long requestTime, long inReplyTo, long[] buckets) implements PeerMessage {}
 
     /**
-     * Registry to registry: compare this with what you hold; empty buckets ask only whether all that came before on
-     * this link has been dealt with.
+     * Registry to registry: requests a comparison with these digests. Empty buckets only ask for an answer after all
+     * earlier messages on this link.
      *
-     * @param sentAt the sender's time, which the answer brings back
+     * @param sentAt the sender's time, which the answer returns
      */
     record CompareRequest(long sentAt, long[] buckets) implements PeerMessage {}
 
     /**
      * The answer to {@link CompareRequest}.
      *
-     * @param term of the membership that the sender goes by
-     * @param complete whether its disk has all that it ever confirmed to hold
-     * @param buckets those that differ, a bit for each
+     * @param sentAt the time in the request
+     * @param term the term of the sender's membership
+     * @param complete whether the sender's disk has all that it ever confirmed
+     * @param buckets a bit for each bucket that differs
      */
     record CompareResponse(long sentAt, long term, boolean complete, int buckets) implements PeerMessage {}
 
-    /** Store to the registry on its machine: addresses of the members of its view, and of those before where it changes. */
+    /** Store to the registry on its machine: the members of its view, and the previous ones while it changes. */
     record Members(long term, List<String> members, List<String> previousMembers) implements PeerMessage {}
 
-    /** The stamps of some parts; whoever gets it tells what it has newer and, where {@code requestTime}, what it lacks. */
-    record Summary(int buckets, boolean asks, List<GossipState.EntryVersion> versions) implements PeerMessage {}
+    /** Versions in some buckets; the receiver sends what it has newer and, if {@code requestMissing}, its own versions. */
+    record Summary(int buckets, boolean requestMissing, List<GossipState.EntryVersion> versions)
+            implements PeerMessage {}
 
-    /** News; told back by {@link Persisted} where {@code commandId} is not 0. */
+    /** Entries; confirmed by {@link Persisted} if {@code commandId} is not 0. */
     record Updates(long commandId, List<Entry> entries) implements PeerMessage {}
 
-    /** The news of this order is on the sender's disk too, synced; {@code term} of the membership that it goes by. */
+    /** The entries of this command are synced on the sender's disk; {@code term} is that of its membership. */
     record Persisted(long commandId, long term) implements PeerMessage {}
 
-    /** Beats that a registry has had since it last told: ids and their counts of calls. */
+    /** The heartbeats that a registry received since its last message of this type. */
     record Heartbeats(List<Heartbeat> heartbeats) implements PeerMessage {}
 
-    /** One of those. */
+    /** A heartbeat: the id of a server or machine and its call sequence number, 0 for a machine. */
     record Heartbeat(String id, long seq) {}
 
-    /** Registry to store: keep this version. */
+    /** Registry to store: stores this version. */
     record Put(long callId, long version, byte[] body) implements PeerMessage {}
 
-    /** Registry to store: the newest version, with its body where it is not the known one of the known term. */
+    /** Registry to store: requests the newest version, with its body unless it is the known one of the known term. */
     record Get(long callId, long knownVersion, long knownTerm) implements PeerMessage {}
 
     /**
-     * Store to registry, or to the store that passed the call on: what holds now. Version 0 stands for none.
+     * Store to registry, or to the store that forwarded the call: the current version. Version 0 stands for none.
      *
-     * @param digest of the content that holds
-     * @param body that content; null where the asker has it
+     * @param digest digest of the current content
+     * @param body the current content; null if the requester has it
      */
     record StoreAnswer(long callId, CallOutcome outcome, long version, long term, ContentDigest digest, byte[] body)
             implements PeerMessage {
-        /** The same for the call that it was passed on for, with a body that the asker gave. */
-        public StoreAnswer forCall(long other, byte[] given) {
-            return new StoreAnswer(other, outcome, version, term, digest, given);
+        /** Returns this answer for the call that was forwarded, with the body that the requester gave. */
+        public StoreAnswer forCall(long otherCallId, byte[] otherBody) {
+            return new StoreAnswer(otherCallId, outcome, version, term, digest, otherBody);
         }
     }
 
-    /** Store to store, between members; what it says is decided elsewhere. */
+    /** Store to store: a message of the replication protocol. */
     record StoreMessage(Message message) implements PeerMessage {}
 
-    /** Registry to registry: a ballot on who does what one does for all. */
+    /** Registry to registry: a message of the election of the one that acts for all. */
     record Ballot(LeaseElection.MessageType type, long term, long sentAt) implements PeerMessage {}
 
-    /** Registry to proxy: what all edges together have seen of servers' speeds, as {@link SpeedReport} has it. */
+    /** Registry to proxy: the server speeds aggregated over all edges, in the form of {@link SpeedReport}. */
     record ServerSpeeds(Map<String, double[]> servers) implements PeerMessage {}
 
-    /** The first byte of each record; another one is another form of them. */
+    /** The first byte of each message; messages with another one are rejected. */
     int FORMAT_VERSION = 2;
-    /** The longest record, a bound on what one peer makes another keep. */
+    /** The longest message, which bounds what a peer can make another buffer. */
     int MAX_BYTES = 72 << 20;
 
-    /** Writes it, form and type first; {@code now} for what carries an age. */
+    /** Writes the message, format version and type first; {@code now} is for entries, which carry their age. */
     default void write(DataOutputStream out, long now) throws IOException {
         out.writeByte(FORMAT_VERSION);
         if (this instanceof Hello hello) {
@@ -132,34 +134,34 @@
         } else if (this instanceof Summary summary) {
             out.writeByte(4);
             out.writeInt(summary.buckets);
-            out.writeBoolean(summary.asks);
+            out.writeBoolean(summary.requestMissing);
             out.writeInt(summary.versions.size());
             for (GossipState.EntryVersion stamp : summary.versions) {
                 stamp.write(out);
             }
-        } else if (this instanceof Updates news) {
+        } else if (this instanceof Updates updates) {
             out.writeByte(5);
-            out.writeLong(news.commandId);
-            out.writeInt(news.entries.size());
-            for (Entry item : news.entries) {
-                item.write(out, now);
+            out.writeLong(updates.commandId);
+            out.writeInt(updates.entries.size());
+            for (Entry entry : updates.entries) {
+                entry.write(out, now);
             }
-        } else if (this instanceof Persisted held) {
+        } else if (this instanceof Persisted persisted) {
             out.writeByte(6);
-            out.writeLong(held.commandId);
-            out.writeLong(held.term);
-        } else if (this instanceof Heartbeats heard) {
+            out.writeLong(persisted.commandId);
+            out.writeLong(persisted.term);
+        } else if (this instanceof Heartbeats received) {
             out.writeByte(7);
-            out.writeInt(heard.heartbeats.size());
-            for (Heartbeat beat : heard.heartbeats) {
-                out.writeUTF(beat.id);
-                out.writeLong(beat.seq);
+            out.writeInt(received.heartbeats.size());
+            for (Heartbeat heartbeat : received.heartbeats) {
+                out.writeUTF(heartbeat.id);
+                out.writeLong(heartbeat.seq);
             }
         } else if (this instanceof Put put) {
             out.writeByte(8);
             out.writeLong(put.callId);
             out.writeLong(put.version);
-            bytes(out, put.body);
+            writeBytes(out, put.body);
         } else if (this instanceof Get get) {
             out.writeByte(9);
             out.writeLong(get.callId);
@@ -172,61 +174,61 @@
             out.writeLong(answer.version);
             out.writeLong(answer.term);
             answer.digest.write(out);
-            bytes(out, answer.body);
-        } else if (this instanceof StoreMessage between) {
+            writeBytes(out, answer.body);
+        } else if (this instanceof StoreMessage wrapped) {
             out.writeByte(11);
-            MessageCodec.write(out, between.message);
+            MessageCodec.write(out, wrapped.message);
         } else if (this instanceof Ballot ballot) {
             out.writeByte(12);
             out.writeByte(ballot.type.ordinal());
             out.writeLong(ballot.term);
             out.writeLong(ballot.sentAt);
-        } else if (this instanceof ServerSpeeds pooled) {
+        } else if (this instanceof ServerSpeeds speeds) {
             out.writeByte(13);
-            SpeedReport.write(out, pooled.servers);
-        } else if (this instanceof CompareRequest compare) {
+            SpeedReport.write(out, speeds.servers);
+        } else if (this instanceof CompareRequest request) {
             out.writeByte(20);
-            out.writeLong(compare.sentAt);
-            out.writeByte(compare.buckets.length);
-            for (long bucket : compare.buckets) {
+            out.writeLong(request.sentAt);
+            out.writeByte(request.buckets.length);
+            for (long bucket : request.buckets) {
                 out.writeLong(bucket);
             }
-        } else if (this instanceof CompareResponse compared) {
+        } else if (this instanceof CompareResponse response) {
             out.writeByte(21);
-            out.writeLong(compared.sentAt);
-            out.writeLong(compared.term);
-            out.writeBoolean(compared.complete);
-            out.writeInt(compared.buckets);
+            out.writeLong(response.sentAt);
+            out.writeLong(response.term);
+            out.writeBoolean(response.complete);
+            out.writeInt(response.buckets);
         } else if (this instanceof Members members) {
             out.writeByte(22);
             out.writeLong(members.term);
-            texts(out, members.members);
-            texts(out, members.previousMembers);
+            writeStrings(out, members.members);
+            writeStrings(out, members.previousMembers);
         }
     }
 
-    /** Reads one; throws {@link IOException} on anything that is none. */
+    /** Reads a message; throws {@link IOException} for invalid input. */
     static PeerMessage read(DataInputStream in, long now) throws IOException {
         if (in.readUnsignedByte() != FORMAT_VERSION) {
-            throw new IOException("another form of records");
+            throw new IOException("unsupported format version");
         }
         int type = in.readUnsignedByte();
         return switch (type) {
             case 1 -> {
                 int program = in.readUnsignedByte();
                 if (program >= Program.values().length) {
-                    throw new IOException("no program " + program);
+                    throw new IOException("unknown program " + program);
                 }
                 yield new Hello(Program.values()[program], in.readUTF(), in.readUTF(), in.readUTF(), in.readLong());
             }
             case 2 -> new Ping();
             case 3 -> {
-                yield new Digest(in.readBoolean(), in.readLong(), in.readLong(), buckets(in, GossipState.BUCKETS));
+                yield new Digest(in.readBoolean(), in.readLong(), in.readLong(), readBuckets(in, GossipState.BUCKETS));
             }
             case 4 -> {
                 int parts = in.readInt();
                 boolean asks = in.readBoolean();
-                int count = count(in);
+                int count = readCount(in);
                 List<GossipState.EntryVersion> stamps = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
                     stamps.add(GossipState.EntryVersion.read(in));
@@ -234,24 +236,24 @@
                 yield new Summary(parts, asks, stamps);
             }
             case 5 -> {
-                long order = in.readLong();
-                int count = count(in);
-                List<Entry> items = new ArrayList<>();
+                long commandId = in.readLong();
+                int count = readCount(in);
+                List<Entry> entries = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
-                    items.add(Entry.read(in, now));
+                    entries.add(Entry.read(in, now));
                 }
-                yield new Updates(order, items);
+                yield new Updates(commandId, entries);
             }
             case 6 -> new Persisted(in.readLong(), in.readLong());
             case 7 -> {
-                int count = count(in);
-                List<Heartbeat> beats = new ArrayList<>();
+                int count = readCount(in);
+                List<Heartbeat> heartbeats = new ArrayList<>();
                 for (int i = 0; i < count; i++) {
-                    beats.add(new Heartbeat(in.readUTF(), in.readLong()));
+                    heartbeats.add(new Heartbeat(in.readUTF(), in.readLong()));
                 }
-                yield new Heartbeats(beats);
+                yield new Heartbeats(heartbeats);
             }
-            case 8 -> new Put(in.readLong(), in.readLong(), bytes(in));
+            case 8 -> new Put(in.readLong(), in.readLong(), readBytes(in));
             case 9 -> new Get(in.readLong(), in.readLong(), in.readLong());
             case 10 ->
                 new StoreAnswer(
@@ -260,31 +262,31 @@
                         in.readLong(),
                         in.readLong(),
                         ContentDigest.read(in),
-                        bytes(in));
+                        readBytes(in));
             case 11 -> new StoreMessage(MessageCodec.read(in));
             case 12 -> {
-                LeaseElection.MessageType word = LeaseElection.MessageType.of(in.readUnsignedByte());
-                if (word == null) {
-                    throw new IOException("no such word");
+                LeaseElection.MessageType messageType = LeaseElection.MessageType.of(in.readUnsignedByte());
+                if (messageType == null) {
+                    throw new IOException("unknown election message type");
                 }
-                yield new Ballot(word, in.readLong(), in.readLong());
+                yield new Ballot(messageType, in.readLong(), in.readLong());
             }
             case 13 -> new ServerSpeeds(SpeedReport.read(in));
             case 20 -> {
                 long at = in.readLong();
-                int buckets = in.readUnsignedByte();
-                if (buckets != 0 && buckets != GossipState.BUCKETS) {
-                    throw new IOException(buckets + " parts");
+                int bucketCount = in.readUnsignedByte();
+                if (bucketCount != 0 && bucketCount != GossipState.BUCKETS) {
+                    throw new IOException(bucketCount + " buckets, unsupported");
                 }
-                yield new CompareRequest(at, buckets(in, buckets));
+                yield new CompareRequest(at, readBuckets(in, bucketCount));
             }
             case 21 -> new CompareResponse(in.readLong(), in.readLong(), in.readBoolean(), in.readInt());
-            case 22 -> new Members(in.readLong(), texts(in), texts(in));
-            default -> throw new IOException("no record " + type);
+            case 22 -> new Members(in.readLong(), readStrings(in), readStrings(in));
+            default -> throw new IOException("unknown message type " + type);
         };
     }
 
-    private static long[] buckets(DataInputStream in, int count) throws IOException {
+    private static long[] readBuckets(DataInputStream in, int count) throws IOException {
         long[] buckets = new long[count];
         for (int i = 0; i < count; i++) {
             buckets[i] = in.readLong();
@@ -292,14 +294,14 @@
         return buckets;
     }
 
-    private static void texts(DataOutputStream out, List<String> texts) throws IOException {
+    private static void writeStrings(DataOutputStream out, List<String> texts) throws IOException {
         out.writeByte(texts.size());
         for (String text : texts) {
             out.writeUTF(text);
         }
     }
 
-    private static List<String> texts(DataInputStream in) throws IOException {
+    private static List<String> readStrings(DataInputStream in) throws IOException {
         List<String> texts = new ArrayList<>();
         for (int i = in.readUnsignedByte(); i > 0; i--) {
             texts.add(in.readUTF());
@@ -307,28 +309,28 @@
         return List.copyOf(texts);
     }
 
-    private static int count(DataInputStream in) throws IOException {
+    private static int readCount(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > in.available()) {
-            throw new IOException("a count of " + count);
+            throw new IOException("invalid count " + count);
         }
         return count;
     }
 
-    private static void bytes(DataOutputStream out, byte[] body) throws IOException {
+    private static void writeBytes(DataOutputStream out, byte[] body) throws IOException {
         out.writeInt(body == null ? -1 : body.length);
         if (body != null) {
             out.write(body);
         }
     }
 
-    private static byte[] bytes(DataInputStream in) throws IOException {
+    private static byte[] readBytes(DataInputStream in) throws IOException {
         int length = in.readInt();
         if (length < 0) {
             return null;
         }
         if (length > in.available()) {
-            throw new IOException("a body of " + length);
+            throw new IOException("invalid body length " + length);
         }
         byte[] body = new byte[length];
         in.readFully(body);
--- a/src/main/java/gorsemast/peer/Ports.java
+++ b/src/main/java/gorsemast/peer/Ports.java
@@ -3,15 +3,15 @@
 import gorsemast.node.Settings;
 import java.net.InetSocketAddress;
 
-/** Which of the ports between processes each program listens at, on every machine alike. */
+/** The internal port on which each program listens, the same on every machine. */
 public enum Ports {
-    /** Links to a proxy. */
+    /** For links to a proxy. */
     PROXY(0),
-    /** Links to a registry. */
+    /** For links to a registry. */
     REGISTRY(1),
-    /** Links to a store. */
+    /** For links to a store. */
     STORE(2),
-    /** Objects, asked for by other proxies. */
+    /** For object requests of other proxies. */
     OBJECTS(3);
 
     private final int offset;
@@ -20,7 +20,7 @@
         this.offset = offset;
     }
 
-    /** Where it is on a machine. */
+    /** Returns its address on a machine. */
     public InetSocketAddress address(Settings settings, String ip) {
         return new InetSocketAddress(ip, Math.min(settings.firstPort() + offset, settings.lastPort()));
     }
--- a/src/main/java/gorsemast/peer/package-info.java
+++ b/src/main/java/gorsemast/peer/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between the system's own processes: framed {@code DataOutputStream} records over TCP, one version byte, lengths
- * bounded. I/O and codec only.
+ * Links between the system's own processes: framed {@code DataOutputStream} messages over TCP, with a version byte and
+ * bounded lengths, and the gossip protocol on top.
  */
 package gorsemast.peer;
--- a/src/main/java/gorsemast/registry/Command.java
+++ b/src/main/java/gorsemast/registry/Command.java
@@ -3,20 +3,20 @@
 import gorsemast.configuration.Configuration;
 import gorsemast.gossip.ServerInfo;
 
-/** A call from outside, decoded; it is run elsewhere. Values; any thread. */
+/** A decoded call of a server or an operator, executed by {@link RegistryNode}. Immutable. */
 public sealed interface Command {
-    /** A server tells of itself; in a beat that it is going to leave its state is DRAINING. */
+    /** A server reports its state; a heartbeat that announces the server's departure has the state DRAINING. */
     record Heartbeat(ServerInfo server) implements Command {}
 
-    /** A server has left. */
+    /** A server deregisters. */
     record Deregister(String id) implements Command {}
 
-    /** A whole configuration, read and checked. */
+    /** Replaces the configuration by this one, which is parsed and validated. */
     record Replace(Configuration configuration) implements Command {}
 
-    /** The newest configuration is asked for. */
+    /** Reads the newest configuration. */
     record Read() implements Command {}
 
-    /** Copies of what is named are not to be served any more; host and path, or a tag. */
+    /** Invalidates the cached responses of a host and path, or all that carry a tag. */
     record Purge(String host, String path, String tag) implements Command {}
 }
--- a/src/main/java/gorsemast/registry/CommandDecoder.java
+++ b/src/main/java/gorsemast/registry/CommandDecoder.java
@@ -13,30 +13,30 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** Decodes calls from outside into commands. No state; any thread. */
+/** Decodes the HTTP calls of servers and operators into commands. Stateless and thread-safe. */
 public final class CommandDecoder {
     private static final DslJson<Object> JSON = new DslJson<>();
-    private static final String NODES = "/v1/nodes/";
-    private static final int LONGEST_ID = 256;
+    private static final String NODES_PREFIX = "/v1/nodes/";
+    private static final int MAX_ID_LENGTH = 256;
 
     private CommandDecoder() {}
 
-    /** The command of a call; throws {@link CommandException} where it is none. */
+    /** Decodes a call into a command; throws {@link CommandException} for an unknown or invalid one. */
     public static Command decode(String method, String path, byte[] body) {
-        if (path.startsWith(NODES)) {
-            String rest = path.substring(NODES.length());
+        if (path.startsWith(NODES_PREFIX)) {
+            String rest = path.substring(NODES_PREFIX.length());
             int slash = rest.indexOf('/');
             String id = slash < 0 ? "" : rest.substring(0, slash);
-            if (id.isEmpty() || id.length() > LONGEST_ID) {
+            if (id.isEmpty() || id.length() > MAX_ID_LENGTH) {
                 throw new CommandException(Code.UNKNOWN, "no such call");
             }
             switch (rest.substring(slash)) {
                 case "/heartbeat" -> {
-                    post(method);
-                    return new Command.Heartbeat(server(id, object(body)));
+                    requirePost(method);
+                    return new Command.Heartbeat(parseServer(id, parseObject(body)));
                 }
                 case "/deregister" -> {
-                    post(method);
+                    requirePost(method);
                     return new Command.Deregister(id);
                 }
                 default -> throw new CommandException(Code.UNKNOWN, "no such call");
@@ -44,7 +44,7 @@
         }
         switch (path) {
             case "/v1/configuration/replace" -> {
-                post(method);
+                requirePost(method);
                 try {
                     return new Command.Replace(Configuration.parse(body));
                 } catch (ConfigurationException e) {
@@ -58,62 +58,63 @@
                 return new Command.Read();
             }
             case "/v1/purge" -> {
-                post(method);
-                return purge(object(body));
+                requirePost(method);
+                return parsePurge(parseObject(body));
             }
             default -> throw new CommandException(Code.UNKNOWN, "no such call");
         }
     }
 
-    private static void post(String method) {
+    private static void requirePost(String method) {
         if (!method.equals("POST")) {
             throw new CommandException(Code.METHOD, "call with POST");
         }
     }
 
-    private static ServerInfo server(String id, Map<?, ?> told) {
-        String address = text(told, "address");
+    private static ServerInfo parseServer(String id, Map<?, ?> fields) {
+        String address = requiredText(fields, "address");
         if (Address.parse(address) == null) {
             throw new CommandException(Code.INVALID, "address: wants ip:port");
         }
         ServerInfo.State state =
-                switch (text(told, "state")) {
+                switch (requiredText(fields, "state")) {
                     case "ready" -> ServerInfo.State.READY;
                     case "draining" -> ServerInfo.State.DRAINING;
                     default -> throw new CommandException(Code.INVALID, "state: is neither ready nor draining");
                 };
-        Object cold = told.get("warmupLeft");
-        double seq = number(told, "callSeq");
-        double capacity = told.get("capacity") == null ? 1 : number(told, "capacity");
+        Object warmupLeft = fields.get("warmupLeft");
+        double seq = requiredNumber(fields, "callSeq");
+        double capacity = fields.get("capacity") == null ? 1 : requiredNumber(fields, "capacity");
         if (seq < 0 || !(capacity > 0)) {
             throw new CommandException(Code.INVALID, "callSeq, capacity: out of range");
         }
         try {
             return new ServerInfo(
                     id,
-                    text(told, "backend"),
+                    requiredText(fields, "backend"),
                     address,
-                    told.get("zone") == null ? "" : text(told, "zone"),
+                    fields.get("zone") == null ? "" : requiredText(fields, "zone"),
                     capacity,
                     state,
                     (long) seq,
-                    cold == null ? 0 : Settings.micros("warmupLeft", cold.toString()));
+                    warmupLeft == null ? 0 : Settings.micros("warmupLeft", warmupLeft.toString()));
         } catch (SettingsException e) {
             throw new CommandException(Code.INVALID, e.getMessage());
         }
     }
 
-    private static Command purge(Map<?, ?> told) {
-        if (told.get("tag") != null) {
-            if (told.get("path") != null || told.get("hostname") != null) {
+    private static Command parsePurge(Map<?, ?> fields) {
+        if (fields.get("tag") != null) {
+            if (fields.get("path") != null || fields.get("hostname") != null) {
                 throw new CommandException(Code.INVALID, "tag: stands beside a path");
             }
-            return new Command.Purge("", "", text(told, "tag"));
+            return new Command.Purge("", "", requiredText(fields, "tag"));
         }
-        return new Command.Purge(Configuration.normalizeHost(text(told, "hostname")), text(told, "path"), "");
+        return new Command.Purge(
+                Configuration.normalizeHost(requiredText(fields, "hostname")), requiredText(fields, "path"), "");
     }
 
-    private static Map<?, ?> object(byte[] body) {
+    private static Map<?, ?> parseObject(byte[] body) {
         try {
             JsonReader<Object> reader = JSON.newReader(body, body.length);
             reader.getNextToken();
@@ -126,15 +127,15 @@
         throw new CommandException(Code.INVALID, "body: wants an object");
     }
 
-    private static String text(Map<?, ?> told, String key) {
-        if (told.get(key) instanceof String text && !text.isEmpty()) {
+    private static String requiredText(Map<?, ?> fields, String key) {
+        if (fields.get(key) instanceof String text && !text.isEmpty()) {
             return text;
         }
         throw new CommandException(Code.INVALID, key + ": wants a text");
     }
 
-    private static double number(Map<?, ?> told, String key) {
-        if (told.get(key) instanceof Number number) {
+    private static double requiredNumber(Map<?, ?> fields, String key) {
+        if (fields.get(key) instanceof Number number) {
             return number.doubleValue();
         }
         throw new CommandException(Code.INVALID, key + ": wants a number");
--- a/src/main/java/gorsemast/registry/CommandException.java
+++ b/src/main/java/gorsemast/registry/CommandException.java
@@ -1,16 +1,16 @@
 package gorsemast.registry;
 
-/** A call that is turned away, with the status that says why. */
+/** Rejects a call that does not decode into a valid {@link Command}, with the HTTP status to answer. */
 public final class CommandException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Why. */
+    /** Reason for the rejection. */
     public enum Code {
-        /** It can't be read, or is not allowed to be as it is. */
+        /** The body is unreadable, or a value in it is not allowed. */
         INVALID(400),
-        /** There is no such call. */
+        /** No call has this path. */
         UNKNOWN(404),
-        /** There is one, by another method. */
+        /** The path exists, but not with this method. */
         METHOD(405);
 
         private final int status;
@@ -19,7 +19,7 @@
             this.status = status;
         }
 
-        /** The answer's status. */
+        /** Returns the HTTP status of the answer. */
         public int status() {
             return status;
         }
@@ -27,12 +27,12 @@
 
     private final Code code;
 
-    CommandException(Code code, String text) {
-        super(text);
+    CommandException(Code code, String message) {
+        super(message);
         this.code = code;
     }
 
-    /** Why. */
+    /** Returns the reason for the rejection. */
     public Code code() {
         return code;
     }
--- a/src/main/java/gorsemast/registry/ControlServer.java
+++ b/src/main/java/gorsemast/registry/ControlServer.java
@@ -29,52 +29,52 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Where servers and operators call: reads each call whole, has it decoded and run, and answers once. A connection
- * carries one call at a time; what can't be read is answered with a 4xx and closed.
+ * The HTTP server for servers and operators: reads each request whole, has it decoded and executed, and answers it once.
+ * A connection carries one request at a time; an unreadable request is answered with a 4xx and the connection is closed.
  */
 final class ControlServer {
-    private static final int MOST_BODY = 16 << 20;
-    private static final int IDLE_SECONDS = 30;
+    private static final int MAX_BODY_BYTES = 16 << 20;
+    private static final int IDLE_TIMEOUT_SECONDS = 30;
     private static final Log LOG = new Log("registry");
 
-    /** Runs a command; the reply may come later, on the loop. */
-    interface Runner {
+    /** Executes a command; the reply may come later, on the event loop. */
+    interface CommandRunner {
         void run(Command command, int size, RegistryNode.Reply reply);
     }
 
     private final EventLoop loop;
-    private final Runner runner;
+    private final CommandRunner runner;
 
-    ControlServer(EventLoop loop, Runner runner) {
+    ControlServer(EventLoop loop, CommandRunner runner) {
         this.loop = loop;
         this.runner = runner;
     }
 
-    void listen(InetSocketAddress at) throws IOException {
-        Transport.listen(loop, at, new ChannelInitializer<Channel>() {
+    void listen(InetSocketAddress address) throws IOException {
+        Transport.listen(loop, address, new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel ch) {
                 ch.pipeline()
                         .addLast(
-                                new ReadTimeoutHandler(IDLE_SECONDS),
+                                new ReadTimeoutHandler(IDLE_TIMEOUT_SECONDS),
                                 new StrictHttp.Requests(),
                                 new HttpResponseEncoder(),
-                                new HttpObjectAggregator(MOST_BODY, true),
-                                new Caller());
+                                new HttpObjectAggregator(MAX_BODY_BYTES, true),
+                                new ConnectionHandler());
             }
         });
     }
 
-    /** One connection. */
-    private final class Caller extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private boolean busy;
+    /** Handles the requests of one connection. */
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        private boolean commandPending;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            boolean keep =
+            boolean keepAlive =
                     HttpUtil.isKeepAlive(request) && request.decoderResult().isSuccess();
-            if (!request.decoderResult().isSuccess() || busy) {
-                write(ctx, 400, "one whole call at a time", null, false);
+            if (!request.decoderResult().isSuccess() || commandPending) {
+                writeResponse(ctx, 400, "one whole call at a time", null, false);
                 return;
             }
             int query = request.uri().indexOf('?');
@@ -83,43 +83,43 @@
             try {
                 Command command =
                         CommandDecoder.decode(request.method().name(), path, ByteBufUtil.getBytes(request.content()));
-                busy = true;
-                boolean[] answered = new boolean[1];
+                commandPending = true;
+                boolean[] replied = new boolean[1];
                 runner.run(command, size, (status, text, body) -> {
-                    if (!answered[0]) {
-                        answered[0] = true;
-                        busy = false;
-                        write(ctx, status, text, body, keep);
+                    if (!replied[0]) {
+                        replied[0] = true;
+                        commandPending = false;
+                        writeResponse(ctx, status, text, body, keepAlive);
                     }
                 });
             } catch (CommandException e) {
-                write(ctx, e.code().status(), e.getMessage(), null, keep);
+                writeResponse(ctx, e.code().status(), e.getMessage(), null, keepAlive);
             } catch (RuntimeException e) {
                 LOG.internalError(e);
-                write(ctx, 500, "a fault", null, false);
+                writeResponse(ctx, 500, "a fault", null, false);
             }
         }
 
-        private void write(ChannelHandlerContext ctx, int status, String text, byte[] body, boolean keep) {
+        private void writeResponse(ChannelHandlerContext ctx, int status, String text, byte[] body, boolean keepAlive) {
             byte[] bytes = body != null
                     ? body
-                    : (text == null ? "{}" : "{\"error\":" + quoted(text) + "}").getBytes(StandardCharsets.UTF_8);
+                    : (text == null ? "{}" : "{\"error\":" + quote(text) + "}").getBytes(StandardCharsets.UTF_8);
             ByteBuf content = Unpooled.wrappedBuffer(bytes);
-            FullHttpResponse answer =
+            FullHttpResponse response =
                     new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), content);
-            answer.headers()
+            response.headers()
                     .set(HttpHeaderNames.CONTENT_TYPE, HttpHeaderValues.APPLICATION_JSON)
                     .set(HttpHeaderNames.CONTENT_LENGTH, bytes.length);
-            if (!keep) {
-                answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+            if (!keepAlive) {
+                response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
-            ChannelFuture written = ctx.writeAndFlush(answer);
-            if (!keep) {
-                written.addListener(ChannelFutureListener.CLOSE);
+            ChannelFuture writeFuture = ctx.writeAndFlush(response);
+            if (!keepAlive) {
+                writeFuture.addListener(ChannelFutureListener.CLOSE);
             }
         }
 
-        private String quoted(String text) {
+        private String quote(String text) {
             StringBuilder quoted = new StringBuilder("\"");
             for (int i = 0; i < text.length(); i++) {
                 char c = text.charAt(i);
--- a/src/main/java/gorsemast/registry/HeartbeatTable.java
+++ b/src/main/java/gorsemast/registry/HeartbeatTable.java
@@ -14,135 +14,137 @@
 import java.util.Set;
 
 /**
- * What a registry makes of beats and of silence. Keeps nothing on disk itself; what has to be there before it is
- * acknowledged is said by {@link Outcome}.
+ * Tracks heartbeats of servers and links of machines, and derives the updates to publish. It stores nothing on disk;
+ * {@link Outcome} says which entries must be replicated before the call is acknowledged.
  *
- * <p><b>Idea.</b> The count of calls orders what a server tells, whichever registry it reaches; a state becomes news
- * when it changes, a beat alone does not. Who is not heard by any registry for some beats is taken for silent, not for
- * gone: its next beat brings it back. O(1) a beat. Times in microseconds; one thread.
+ * <p>A server's call sequence number orders its reports, whichever registry they reach. Only a change of state is
+ * published, not each heartbeat. A server from which no registry received some heartbeats is marked silent, not gone: its
+ * next heartbeat makes it ready again. O(1) per heartbeat. Times in microseconds; not thread-safe.
  */
 public final class HeartbeatTable {
-    /** After so many beats that did not come a server is taken for silent. */
-    private static final double MISSED = 3.5;
-    /** After so long without a link an edge or a core machine is taken for down. */
-    static final long DOWN_MICROS = 3_000_000;
-    /** A draining server that is not heard of any more has gone. */
-    private static final long DRAINED_MICROS = 30_000_000;
+    /** After this many missed heartbeats a server is marked silent. */
+    private static final double MISSED_HEARTBEATS = 3.5;
+    /** After this time without a link an edge or a core machine is marked down. */
+    static final long MACHINE_TIMEOUT_MICROS = 3_000_000;
+    /** After this time without a heartbeat a draining server is marked gone. */
+    private static final long DRAIN_TIMEOUT_MICROS = 30_000_000;
 
-    private final GossipState board;
-    private final long beatMicros;
-    private final Map<String, Long> heard = new HashMap<>();
-    private final Map<String, Long> told = new HashMap<>();
-    private final Map<String, Long> sinceTold = new HashMap<>();
-    private final Set<String> safe = new HashSet<>();
+    private final GossipState state;
+    private final long heartbeatMicros;
+    private final Map<String, Long> lastHeardAt = new HashMap<>();
+    private final Map<String, Long> latestSeq = new HashMap<>();
+    private final Map<String, Long> unreportedSeq = new HashMap<>();
+    private final Set<String> replicated = new HashSet<>();
 
-    /** Over a board that it only reads. */
-    public HeartbeatTable(GossipState board, long beatMicros) {
-        this.board = board;
-        this.beatMicros = beatMicros;
+    /** Creates a table over a gossip state that it only reads. */
+    public HeartbeatTable(GossipState state, long heartbeatMicros) {
+        this.state = state;
+        this.heartbeatMicros = heartbeatMicros;
     }
 
-    /** What is to be published for a beat, and whether others must hold it first. */
+    /** An entry to publish, and whether other registries must hold it before the call is acknowledged. */
     public record Outcome(Entry entry, boolean requiresReplication) {}
 
-    /** A server's own beat. Null where it is no news. */
+    /** Processes a heartbeat of a server; returns null if there is nothing to publish. */
     public Outcome heartbeat(long now, ServerInfo server) {
-        heard.put(server.id(), now);
-        told.merge(server.id(), server.seq(), Math::max);
-        sinceTold.put(server.id(), told.get(server.id()));
-        Entry held = board.get(Kind.SERVER, server.id());
-        ServerInfo known = held == null ? null : ServerInfo.fromEntry(held);
+        lastHeardAt.put(server.id(), now);
+        latestSeq.merge(server.id(), server.seq(), Math::max);
+        unreportedSeq.put(server.id(), latestSeq.get(server.id()));
+        Entry current = state.get(Kind.SERVER, server.id());
+        ServerInfo known = current == null ? null : ServerInfo.fromEntry(current);
         if (known != null && known.state() == State.GONE) {
-            // It has left; this came late. What it asks for holds once its departure does.
-            return server.state() == State.DRAINING && !safe(held) ? new Outcome(held, true) : null;
+            // A late heartbeat of a server that has left: its drain is acknowledged once its departure is replicated.
+            return server.state() == State.DRAINING && !isReplicated(current) ? new Outcome(current, true) : null;
         }
-        Entry item = server.toEntry(now);
+        Entry entry = server.toEntry(now);
         if (known != null
-                && (held.stamp() >= item.stamp()
+                && (current.stamp() >= entry.stamp()
                         || known.state() == server.state()
                                 && known.address().equals(server.address())
                                 && known.service().equals(server.service()))) {
-            boolean unsafe = known.state() == State.DRAINING && server.state() == State.DRAINING && !safe(held);
-            return unsafe ? new Outcome(held, true) : null;
+            boolean awaitsReplication =
+                    known.state() == State.DRAINING && server.state() == State.DRAINING && !isReplicated(current);
+            return awaitsReplication ? new Outcome(current, true) : null;
         }
-        return new Outcome(item, server.state() == State.DRAINING);
+        return new Outcome(entry, server.state() == State.DRAINING);
     }
 
-    /** A server has left. Null where all know. */
+    /** Processes a deregistration; returns null if the departure is already replicated. */
     public Outcome deregister(long now, String id) {
-        Entry held = board.get(Kind.SERVER, id);
-        ServerInfo known = held == null ? null : ServerInfo.fromEntry(held);
-        ServerInfo gone = known == null
+        Entry current = state.get(Kind.SERVER, id);
+        ServerInfo known = current == null ? null : ServerInfo.fromEntry(current);
+        ServerInfo departed = known == null
                 ? new ServerInfo(id, "", "", "", 1, State.GONE, 0, 0)
                 : known.withState(State.GONE, known.seq());
         if (known != null && known.state() == State.GONE) {
-            return safe(held) ? null : new Outcome(held, true);
+            return isReplicated(current) ? null : new Outcome(current, true);
         }
-        return new Outcome(gone.toEntry(now), true);
+        return new Outcome(departed.toEntry(now), true);
     }
 
-    private boolean safe(Entry item) {
-        return safe.contains(item.key() + item.stamp());
+    private boolean isReplicated(Entry entry) {
+        return replicated.contains(entry.key() + entry.stamp());
     }
 
-    /** Others hold this. */
+    /** Notes that other registries hold the entry of this key and stamp. */
     public void markReplicated(String key, long stamp) {
-        safe.add(key + stamp);
+        replicated.add(key + stamp);
     }
 
-    /** Another registry has heard this one of late. */
+    /** Notes that another registry recently received a heartbeat of this server or machine. */
     public void heartbeatAtPeer(long now, String id, long seq) {
-        Long known = told.get(id);
+        Long known = latestSeq.get(id);
         if (known == null || seq > known || seq == 0) {
-            told.put(id, seq);
-            heard.put(id, now);
+            latestSeq.put(id, seq);
+            lastHeardAt.put(id, now);
         }
     }
 
-    /** What was heard here since this was last asked. */
+    /** Returns the sequence numbers of heartbeats received here since the last call of this method. */
     public Map<String, Long> takeLocalHeartbeats() {
-        Map<String, Long> all = new HashMap<>(sinceTold);
-        sinceTold.clear();
-        return all;
+        Map<String, Long> reported = new HashMap<>(unreportedSeq);
+        unreportedSeq.clear();
+        return reported;
     }
 
-    /** A machine that has a link to this registry now. Returns what is to be published, null for nothing. */
-    public Entry machineConnected(long now, Kind kind, String ip, String zone, String control, long life) {
+    /** Notes that a machine has a link to this registry; returns the entry to publish, or null. */
+    public Entry machineConnected(
+            long now, Kind kind, String ip, String zone, String controlAddress, long incarnation) {
         String key = kind + ip;
-        heard.put(key, now);
-        sinceTold.put(key, 0L);
-        Entry held = board.get(kind, ip);
-        MachineInfo known = held == null ? null : MachineInfo.fromEntry(held);
-        if (known != null && known.up() && known.incarnation() >= life) {
+        lastHeardAt.put(key, now);
+        unreportedSeq.put(key, 0L);
+        Entry current = state.get(kind, ip);
+        MachineInfo known = current == null ? null : MachineInfo.fromEntry(current);
+        if (known != null && known.up() && known.incarnation() >= incarnation) {
             return null;
         }
-        long next = known == null ? life : Math.max(life, known.incarnation() + 1);
-        return new MachineInfo(ip, zone, control, true, next).toEntry(kind, now);
+        long nextIncarnation = known == null ? incarnation : Math.max(incarnation, known.incarnation() + 1);
+        return new MachineInfo(ip, zone, controlAddress, true, nextIncarnation).toEntry(kind, now);
     }
 
-    /** What has been silent for too long; only for who can tell that, as it reaches most of the others. */
+    /** Returns updates for servers and machines that timed out; only for the registry elected by a majority to publish them. */
     public List<Entry> detectSilent(long now) {
-        List<Entry> found = new ArrayList<>();
-        for (Entry item : board.all(Kind.SERVER)) {
-            ServerInfo server = ServerInfo.fromEntry(item);
-            long quiet = now - heard.computeIfAbsent(item.key(), key -> now);
+        List<Entry> updates = new ArrayList<>();
+        for (Entry entry : state.all(Kind.SERVER)) {
+            ServerInfo server = ServerInfo.fromEntry(entry);
+            long silentFor = now - lastHeardAt.computeIfAbsent(entry.key(), key -> now);
             if (server == null) {
                 continue;
             }
-            long seq = Math.max(server.seq(), told.getOrDefault(item.key(), 0L));
-            if (server.state() == State.READY && quiet > MISSED * beatMicros) {
-                found.add(server.withState(State.SILENT, seq).toEntry(now));
-            } else if (server.state() == State.DRAINING && quiet > DRAINED_MICROS) {
-                found.add(server.withState(State.GONE, seq).toEntry(now));
+            long seq = Math.max(server.seq(), latestSeq.getOrDefault(entry.key(), 0L));
+            if (server.state() == State.READY && silentFor > MISSED_HEARTBEATS * heartbeatMicros) {
+                updates.add(server.withState(State.SILENT, seq).toEntry(now));
+            } else if (server.state() == State.DRAINING && silentFor > DRAIN_TIMEOUT_MICROS) {
+                updates.add(server.withState(State.GONE, seq).toEntry(now));
             }
         }
         for (Kind kind : List.of(Kind.EDGE, Kind.CORE)) {
-            for (Entry item : board.all(kind)) {
-                MachineInfo machine = MachineInfo.fromEntry(item);
+            for (Entry entry : state.all(kind)) {
+                MachineInfo machine = MachineInfo.fromEntry(entry);
                 if (machine != null
                         && machine.up()
-                        && now - heard.computeIfAbsent(kind + item.key(), key -> now) > DOWN_MICROS) {
-                    found.add(new MachineInfo(
+                        && now - lastHeardAt.computeIfAbsent(kind + entry.key(), key -> now) > MACHINE_TIMEOUT_MICROS) {
+                    updates.add(new MachineInfo(
                                     machine.ip(),
                                     machine.zone(),
                                     machine.controlAddress(),
@@ -152,20 +154,20 @@
                 }
             }
         }
-        return found;
+        return updates;
     }
 
-    /** Forgets what the board has forgotten. */
+    /** Removes what the gossip state no longer has. */
     public void removeForgotten() {
-        Set<String> known = new HashSet<>();
-        board.all(Kind.SERVER).forEach(item -> known.add(item.key()));
+        Set<String> knownKeys = new HashSet<>();
+        state.all(Kind.SERVER).forEach(entry -> knownKeys.add(entry.key()));
         for (Kind kind : List.of(Kind.EDGE, Kind.CORE)) {
-            board.all(kind).forEach(item -> known.add(kind + item.key()));
+            state.all(kind).forEach(entry -> knownKeys.add(kind + entry.key()));
         }
-        heard.keySet().retainAll(known);
-        told.keySet().retainAll(known);
-        Set<String> held = new HashSet<>();
-        board.all(Kind.SERVER).forEach(item -> held.add(item.key() + item.stamp()));
-        safe.retainAll(held);
+        lastHeardAt.keySet().retainAll(knownKeys);
+        latestSeq.keySet().retainAll(knownKeys);
+        Set<String> currentVersions = new HashSet<>();
+        state.all(Kind.SERVER).forEach(entry -> currentVersions.add(entry.key() + entry.stamp()));
+        replicated.retainAll(currentVersions);
     }
 }
--- a/src/main/java/gorsemast/registry/Membership.java
+++ b/src/main/java/gorsemast/registry/Membership.java
@@ -6,78 +6,88 @@
 import java.util.Set;
 
 /**
- * The machines that count, as the store has agreed on them: every number of machines that a registry goes by is of these,
- * never of those that it believes to be up. While the store exchanges a member there are two lists, and each has to be
- * satisfied. A value; any thread.
+ * The voting machines as agreed by the store. A registry counts quorums over these only, never over the machines that it
+ * believes to be up. While the store replaces a member there are two lists, and a quorum is needed in each. Immutable.
  *
- * @param term of the store's view; 0 for none yet
- * @param members addresses
- * @param previousMembers the list that is being replaced; empty where none is
- * @param losses how many disks may be lost at the same time, one at the least
+ * @param term the term of the store's view; 0 for none yet
+ * @param members addresses of the members
+ * @param previousMembers the list that is being replaced; empty if none is
+ * @param losses how many disks may be lost at the same time, at least one
  */
 public record Membership(long term, Set<String> members, Set<String> previousMembers, int losses) {
-    /** Of nobody: nothing is acknowledged and nothing vouched for. */
+    /** Returns the empty membership, under which nothing is acknowledged or confirmed. */
     public static Membership none(int losses) {
         return new Membership(0, Set.of(), Set.of(), Math.max(1, losses));
     }
 
-    /** As the store on this machine tells it. */
-    Membership next(PeerMessage.Members told) {
+    /** Returns the membership that the store on this machine reports. */
+    Membership updatedBy(PeerMessage.Members message) {
         return new Membership(
-                told.term(), new LinkedHashSet<>(told.members()), new LinkedHashSet<>(told.previousMembers()), losses);
+                message.term(),
+                new LinkedHashSet<>(message.members()),
+                new LinkedHashSet<>(message.previousMembers()),
+                losses);
     }
 
-    /** Whether this machine counts. */
+    /** Returns whether this machine is a member of either list. */
     public boolean contains(String ip) {
         return members.contains(ip) || previousMembers.contains(ip);
     }
 
-    /** All that count. */
+    /** Returns the members of both lists. */
     public Set<String> all() {
         Set<String> all = new LinkedHashSet<>(members);
         all.addAll(previousMembers);
         return all;
     }
 
-    /** Whether what these hold on disk outlives the losses that are to be borne: one more than may be lost. */
+    /** Returns whether data on the disks of these machines survives the tolerated losses: one more than may be lost. */
     public boolean isDurableOn(Collection<String> ips) {
-        return enough(members, ips, needed(members))
-                && (previousMembers.isEmpty() || enough(previousMembers, ips, needed(previousMembers)));
+        return containsAtLeast(members, ips, requiredHolders(members))
+                && (previousMembers.isEmpty()
+                        || containsAtLeast(previousMembers, ips, requiredHolders(previousMembers)));
     }
 
-    /** Whether these have a machine in common with all sets that {@link #isDurableOn}. */
+    /** Returns whether these machines intersect every set for which {@link #isDurableOn} holds. */
     public boolean intersectsDurableSets(Collection<String> ips) {
-        return enough(members, ips, members.size() - needed(members) + 1)
+        return containsAtLeast(members, ips, members.size() - requiredHolders(members) + 1)
                 && (previousMembers.isEmpty()
-                        || enough(previousMembers, ips, previousMembers.size() - needed(previousMembers) + 1));
+                        || containsAtLeast(
+                                previousMembers, ips, previousMembers.size() - requiredHolders(previousMembers) + 1));
     }
 
-    /** Whether these are more than half. */
+    /** Returns whether these machines are a majority. */
     public boolean isMajority(Collection<String> ips) {
-        return enough(members, ips, members.size() / 2 + 1)
-                && (previousMembers.isEmpty() || enough(previousMembers, ips, previousMembers.size() / 2 + 1));
+        return containsAtLeast(members, ips, members.size() / 2 + 1)
+                && (previousMembers.isEmpty() || containsAtLeast(previousMembers, ips, previousMembers.size() / 2 + 1));
     }
 
     /**
-     * Whether a machine that has compared its news with these has all that any set of holders can have between them:
-     * enough that are complete themselves, or all others.
+     * Returns whether a machine that has compared its state with these members has all that any set of holders can have
+     * between them: enough members that are complete themselves, or all other members.
      */
-    boolean completes(String self, Collection<String> complete, Collection<String> compared) {
-        return completes(members, self, complete, compared)
-                && (previousMembers.isEmpty() || completes(previousMembers, self, complete, compared));
+    boolean canComplete(String self, Collection<String> completeMembers, Collection<String> comparedMembers) {
+        return canComplete(members, self, completeMembers, comparedMembers)
+                && (previousMembers.isEmpty() || canComplete(previousMembers, self, completeMembers, comparedMembers));
     }
 
-    private boolean completes(Set<String> list, String self, Collection<String> complete, Collection<String> compared) {
-        Set<String> others = new LinkedHashSet<>(list);
+    private boolean canComplete(
+            Set<String> memberList,
+            String self,
+            Collection<String> completeMembers,
+            Collection<String> comparedMembers) {
+        Set<String> others = new LinkedHashSet<>(memberList);
         others.remove(self);
-        return enough(others, complete, needed(list)) || !list.isEmpty() && compared.containsAll(others);
+        return containsAtLeast(others, completeMembers, requiredHolders(memberList))
+                || !memberList.isEmpty() && comparedMembers.containsAll(others);
     }
 
-    private int needed(Set<String> list) {
-        return Math.min(losses + 1, list.size());
+    private int requiredHolders(Set<String> memberList) {
+        return Math.min(losses + 1, memberList.size());
     }
 
-    private static boolean enough(Set<String> list, Collection<String> ips, int needed) {
-        return !list.isEmpty() && list.stream().filter(ips::contains).count() >= needed;
+    private static boolean containsAtLeast(Set<String> memberList, Collection<String> ips, int required) {
+        return !memberList.isEmpty()
+                && memberList.stream().filter(ips::contains).count() >= required;
     }
 }
--- a/src/main/java/gorsemast/registry/Quorum.java
+++ b/src/main/java/gorsemast/registry/Quorum.java
@@ -10,123 +10,134 @@
 import java.util.function.LongSupplier;
 
 /**
- * The members as one registry sees them: who they are, who of them answers, and what they have that it has not, which it
- * asks them again and again. One caller; times in microseconds.
+ * One registry's view of the members: who they are, which of them answer, and, by periodic comparison, whether they hold
+ * entries that this registry lacks. Not thread-safe; times in microseconds.
  */
 final class Quorum {
-    /** Members are asked this often whether they have what this one has not. */
-    private static final long COMPARE_MICROS = 500_000;
+    /** The interval of comparisons with the other members. */
+    private static final long COMPARE_INTERVAL_MICROS = 500_000;
 
-    private static final long[] NOTHING = new long[0];
+    private static final long[] NO_BUCKETS = new long[0];
 
     private final String self;
-    private final GossipState board;
-    private final DurableNews durable;
+    private final GossipState state;
+    private final DurableState durable;
     private final Neighbours neighbours;
     private final LongSupplier clock;
-    private final VouchingLease lease = new VouchingLease();
+    private final ConfirmationLease lease = new ConfirmationLease();
     private Membership membership;
-    private long compareAt;
+    private long nextCompareAt;
 
-    Quorum(String self, int losses, GossipState board, DurableNews durable, Neighbours neighbours, LongSupplier clock) {
+    Quorum(
+            String self,
+            int losses,
+            GossipState state,
+            DurableState durable,
+            Neighbours neighbours,
+            LongSupplier clock) {
         this.self = self;
-        this.board = board;
+        this.state = state;
         this.durable = durable;
         this.neighbours = neighbours;
         this.clock = clock;
         this.membership = Membership.none(losses);
     }
 
-    /** Who counts. */
+    /** Returns the current membership. */
     Membership membership() {
         return membership;
     }
 
-    /** What this machine may vouch for, and until when. */
-    VouchingLease lease() {
+    /** Returns the lease under which this machine confirms that its state is current. */
+    ConfirmationLease lease() {
         return lease;
     }
 
-    /** Whether its lease holds now. */
-    boolean vouches() {
-        return lease.holds(clock.getAsLong(), membership, self, counts());
+    /** Returns whether the lease is valid now. */
+    boolean holdsLease() {
+        return lease.holds(clock.getAsLong(), membership, self, isCompleteMember());
     }
 
-    /** Whether this machine's disk counts: a member's that is complete. */
-    boolean counts() {
+    /** Returns whether this machine's disk counts: that of a member, and complete. */
+    boolean isCompleteMember() {
         return membership.contains(self) && durable.complete();
     }
 
-    /** Whether a snapshot of now would make its disk complete; a disk that is no member's counts for nothing any more. */
-    boolean completes() {
+    /** Returns whether a snapshot taken now completes the disk; marks the disk of a non-member incomplete. */
+    boolean becomesComplete() {
         if (!membership.contains(self)) {
             if (!membership.members().isEmpty()) {
-                durable.incomplete();
+                durable.markIncomplete();
             }
             return false;
         }
         long now = clock.getAsLong();
         return !durable.complete()
-                && membership.completes(self, lease.known(now, membership, true), lease.known(now, membership, false));
+                && membership.canComplete(
+                        self,
+                        lease.comparedMembers(now, membership, true),
+                        lease.comparedMembers(now, membership, false));
     }
 
-    /** Whether enough members answer, with this one, to acknowledge an order. */
-    boolean reachesEnough() {
+    /** Returns whether enough members answer, this one included, to acknowledge a command. */
+    boolean reachesDurableSet() {
         long now = clock.getAsLong();
         Set<String> ips = new HashSet<>();
-        for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
-            if (lease.reached(now, one.hello().ip())) {
-                ips.add(one.hello().ip());
+        for (Neighbour neighbour : neighbours.connected(Program.REGISTRY)) {
+            if (lease.isReachable(now, neighbour.hello().ip())) {
+                ips.add(neighbour.hello().ip());
             }
         }
         ips.remove(self);
-        if (counts()) {
+        if (isCompleteMember()) {
             ips.add(self);
         }
         return membership.isDurableOn(ips);
     }
 
-    /** The store has another view. Returns whether that is so. */
-    boolean members(PeerMessage.Members told) {
-        Membership next = membership.next(told);
-        boolean another = !next.equals(membership);
+    /** Takes the membership that the store reports; returns whether it has changed. */
+    boolean update(PeerMessage.Members message) {
+        Membership next = membership.updatedBy(message);
+        boolean changed = !next.equals(membership);
         membership = next;
-        compareAt = another ? 0 : compareAt;
-        return another;
+        nextCompareAt = changed ? 0 : nextCompareAt;
+        return changed;
     }
 
-    /** A registry has come into reach. */
-    void up() {
-        compareAt = 0;
+    /** Makes the next tick compare, as a neighbour has connected. */
+    void neighbourConnected() {
+        nextCompareAt = 0;
     }
 
-    /** Asks the members what they have that this one has not; at each tick while it can't vouch. */
+    /** Compares the state with the members when due, and at each tick while the lease is not valid. */
     void tick() {
         long now = clock.getAsLong();
-        if (now < compareAt && vouches()) {
+        if (now < nextCompareAt && holdsLease()) {
             return;
         }
-        compareAt = now + COMPARE_MICROS;
-        PeerMessage.CompareRequest mine = new PeerMessage.CompareRequest(now, board.digest());
+        nextCompareAt = now + COMPARE_INTERVAL_MICROS;
+        PeerMessage.CompareRequest request = new PeerMessage.CompareRequest(now, state.digest());
         Set<String> members = membership.all();
-        for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
-            if (members.contains(one.hello().ip())) {
-                one.send(mine);
+        for (Neighbour neighbour : neighbours.connected(Program.REGISTRY)) {
+            if (members.contains(neighbour.hello().ip())) {
+                neighbour.send(request);
             }
         }
     }
 
-    /** Takes what is about comparing news; returns whether it was. */
-    boolean received(Neighbour one, PeerMessage record) {
-        if (record instanceof PeerMessage.CompareRequest compare) {
-            int parts = compare.buckets().length == 0 ? 0 : board.differingBuckets(compare.buckets());
-            one.send(new PeerMessage.CompareResponse(compare.sentAt(), membership.term(), counts(), parts));
-        } else if (record instanceof PeerMessage.CompareResponse answer) {
-            lease.answered(one.hello().ip(), answer.sentAt(), answer.term(), answer.complete(), answer.buckets() == 0);
+    /** Handles messages of comparisons; returns whether this was one. */
+    boolean received(Neighbour neighbour, PeerMessage message) {
+        if (message instanceof PeerMessage.CompareRequest compare) {
+            int differing = compare.buckets().length == 0 ? 0 : state.differingBuckets(compare.buckets());
+            neighbour.send(new PeerMessage.CompareResponse(
+                    compare.sentAt(), membership.term(), isCompleteMember(), differing));
+        } else if (message instanceof PeerMessage.CompareResponse answer) {
+            lease.registryAnswered(
+                    neighbour.hello().ip(), answer.sentAt(), answer.term(), answer.complete(), answer.buckets() == 0);
             if (answer.buckets() != 0) {
-                // Links keep their order: what differs comes before the answer to the second question.
-                one.send(new PeerMessage.Summary(answer.buckets(), true, board.versions(answer.buckets())));
-                one.send(new PeerMessage.CompareRequest(clock.getAsLong(), NOTHING));
+                // Links keep the order of messages: differing entries arrive before the second answer.
+                neighbour.send(new PeerMessage.Summary(answer.buckets(), true, state.versions(answer.buckets())));
+                neighbour.send(new PeerMessage.CompareRequest(clock.getAsLong(), NO_BUCKETS));
             }
         } else {
             return false;
--- a/src/main/java/gorsemast/registry/RegistryDisk.java
+++ b/src/main/java/gorsemast/registry/RegistryDisk.java
@@ -15,17 +15,17 @@
 import java.util.function.Consumer;
 
 /**
- * A registry's disk on a thread of its own: what waits to be appended is synced together, at most so often, and a
- * snapshot that holds all that the journal does lets that be emptied. Called on the event loop, which never waits; ends
- * are told there.
+ * A registry's disk, written by a thread of its own. Pending appends are synced together at a limited rate, and a snapshot
+ * that covers the whole journal lets the journal be cleared. Called on the event loop, which never blocks; callbacks run
+ * there.
  */
 final class RegistryDisk {
-    /** Between the beginnings of two syncs of the journal: at most 40 a second; one that comes alone does not wait. */
-    static final long GATHER_MICROS = 25_000;
+    /** The shortest time between the starts of two journal syncs, 40 a second; a single append is not delayed. */
+    static final long SYNC_INTERVAL_MICROS = 25_000;
 
-    private static final long AGAIN_MICROS = 100_000;
-    /** What waits for a disk that stands still; more is not taken, and so not confirmed. */
-    private static final int MOST_WAITING = 8 << 20;
+    private static final long RETRY_MICROS = 100_000;
+    /** The bound on appends that wait for a stalled disk; further ones are dropped and so never confirmed. */
+    private static final int MAX_PENDING_BYTES = 8 << 20;
 
     private static final Log LOG = new Log("registry");
 
@@ -40,113 +40,115 @@
         return thread;
     });
     private final Object lock = new Object();
-    private List<Append> waiting = new ArrayList<>();
-    private int waitingBytes;
-    private boolean due;
-    private long submitted;
-    private long syncs;
-    /** Of the disk's thread: how many are written, and when the last sync began. */
-    private long written;
-
+    private List<Append> pending = new ArrayList<>();
+    private int pendingBytes;
+    private boolean syncScheduled;
+    private long submittedCount;
+    private long syncCount;
+    /** The number of records written; used on the writer thread only. */
+    private long writtenCount;
+
+    /** When the last sync started; used on the writer thread only. */
     private long syncedAt = Long.MIN_VALUE / 2;
 
-    /** In a folder, which must exist. */
-    RegistryDisk(Path folder, Executor loop) {
+    /** Opens the disk in a directory, which must exist. */
+    RegistryDisk(Path directory, Executor loop) {
         this.loop = loop;
-        this.snapshot = new Snapshot(folder);
-        this.journal = Journal.open(folder);
+        this.snapshot = new Snapshot(directory);
+        this.journal = Journal.open(directory);
     }
 
-    /** The last snapshot; null for none. To be called before anything is written. */
+    /** Reads the last snapshot, null for none; called before anything is written. */
     byte[] snapshot() {
         return snapshot.read();
     }
 
-    /** The journal's records; to be called before anything is written. */
+    /** Reads the journal's records; called before anything is written. */
     List<byte[]> journal() {
         return journal.read();
     }
 
-    /** Appends a record; {@code done} runs when it is synced. */
+    /** Appends a record; {@code done} runs once it is synced. */
     void append(byte[] record, Runnable done) {
         synchronized (lock) {
-            if (waitingBytes > MOST_WAITING) {
-                LOG.warn("has too much that waits for its disk, and confirms nothing more");
+            if (pendingBytes > MAX_PENDING_BYTES) {
+                LOG.warn("too many writes wait for the disk, dropping an append, which stays unconfirmed");
                 return;
             }
-            waiting.add(new Append(record, done));
-            waitingBytes += record.length;
-            submitted++;
-            if (!due) {
-                due = true;
+            pending.add(new Append(record, done));
+            pendingBytes += record.length;
+            submittedCount++;
+            if (!syncScheduled) {
+                syncScheduled = true;
                 writer.execute(this::sync);
             }
         }
     }
 
     private void sync() {
-        long early = syncedAt + GATHER_MICROS - now();
-        if (early > 0) {
-            writer.schedule(this::sync, early, TimeUnit.MICROSECONDS);
+        long waitMicros = syncedAt + SYNC_INTERVAL_MICROS - now();
+        if (waitMicros > 0) {
+            writer.schedule(this::sync, waitMicros, TimeUnit.MICROSECONDS);
             return;
         }
-        List<Append> all;
+        List<Append> batch;
         synchronized (lock) {
-            all = waiting;
-            waiting = new ArrayList<>();
-            waitingBytes = 0;
-            due = false;
-            syncs++;
+            batch = pending;
+            pending = new ArrayList<>();
+            pendingBytes = 0;
+            syncScheduled = false;
+            syncCount++;
         }
         syncedAt = now();
         try {
-            journal.append(all.stream().map(Append::record).toList());
-            written += all.size();
-            loop.execute(() -> all.forEach(one -> one.done.run()));
+            journal.append(batch.stream().map(Append::record).toList());
+            writtenCount += batch.size();
+            loop.execute(() -> batch.forEach(append -> append.done.run()));
         } catch (DiskException e) {
-            LOG.warn("can't write its journal, tries again: " + e.getMessage());
+            LOG.warn("cannot write the journal, will retry: " + e.getMessage());
             synchronized (lock) {
-                all.addAll(waiting);
-                waiting = all;
-                waitingBytes = all.stream().mapToInt(one -> one.record.length).sum();
-                due = true;
+                batch.addAll(pending);
+                pending = batch;
+                pendingBytes =
+                        batch.stream().mapToInt(append -> append.record.length).sum();
+                syncScheduled = true;
             }
-            writer.schedule(this::sync, AGAIN_MICROS, TimeUnit.MICROSECONDS);
+            writer.schedule(this::sync, RETRY_MICROS, TimeUnit.MICROSECONDS);
         }
     }
 
-    /** Swaps the snapshot for this one, which holds all that was appended before; {@code done} is told whether it is safe. */
-    void remember(byte[] record, Consumer<Boolean> done) {
-        long holds;
+    /** Replaces the snapshot by one that covers all earlier appends; {@code done} receives whether it is synced. */
+    void writeSnapshot(byte[] record, Consumer<Boolean> done) {
+        long coveredCount;
         synchronized (lock) {
-            holds = submitted;
+            coveredCount = submittedCount;
         }
         writer.execute(() -> {
-            boolean safe = false;
+            boolean synced = false;
             try {
                 snapshot.write(record);
-                safe = true;
-                if (written <= holds) {
+                synced = true;
+                if (writtenCount <= coveredCount) {
                     journal.clear();
                 }
             } catch (DiskException e) {
-                LOG.warn("can't write down what it knows: " + e.getMessage());
+                LOG.warn("cannot write the snapshot: " + e.getMessage());
             }
-            boolean is = safe;
-            loop.execute(() -> done.accept(is));
+            boolean result = synced;
+            loop.execute(() -> done.accept(result));
         });
     }
 
-    /** Ends its thread and lets go of its file. */
+    /** Stops the writer thread and closes the journal. */
     void close() {
         Daemon.shutDown(writer);
         journal.close();
     }
 
-    /** How often the journal was synced; any thread. */
-    long syncs() {
+    /** Returns how often the journal was synced; thread-safe. */
+    long syncCount() {
         synchronized (lock) {
-            return syncs;
+            return syncCount;
         }
     }
 
--- a/src/main/java/gorsemast/registry/RegistryNode.java
+++ b/src/main/java/gorsemast/registry/RegistryNode.java
@@ -26,42 +26,42 @@
 import java.util.function.LongSupplier;
 
 /**
- * Everything that a registry decides: which command is acknowledged when, what becomes news, whom it keeps links to, and
- * when it knows enough to vouch for what it tells. No I/O, no clock of its own, no threads: what carries it hands in
- * neighbours, time and the disk, so that a whole fleet of these runs in virtual time.
+ * The decisions of a registry: when a command is acknowledged, which updates are published, which links it keeps, and when
+ * its state is known to be current. It has no I/O, clock or threads of its own: neighbours, time and the disk are passed
+ * in, so that many of these run in virtual time.
  *
- * <p><b>Acknowledged</b> are drains, departures and purges when one more member of the store's view than may be lost has
- * them on disk, synced ({@link Orders}, {@link DurableNews}), and configurations when the store says so. It <b>vouches</b>
- * while its {@link VouchingLease} holds. Members are those of the {@link Membership} that the store on its machine tells.
- * One caller; times in microseconds of a clock that never goes back.
+ * <p>Drains, departures and purges are acknowledged once one more member of the store's view than may be lost has them
+ * synced to disk ({@link ReplicationTracker}, {@link DurableState}); configurations, once the store acknowledges them. The
+ * registry confirms that its state is current while its {@link ConfirmationLease} is valid. Members are those of the
+ * {@link Membership} reported by the store on its machine. Not thread-safe; times in microseconds of a monotonic clock.
  */
 public final class RegistryNode {
-    /** To be called so often. */
+    /** The interval of calls of {@link #tick}. */
     public static final long TICK_MICROS = 250_000;
-    /** A caller looks elsewhere after a second; the answer that nothing is certain has to come before. */
-    static final long CALL_MICROS = 850_000;
+    /** A caller tries another registry after a second; the answer that the outcome is uncertain must come before. */
+    static final long COMMAND_TIMEOUT_MICROS = 850_000;
 
-    private static final long LARGE_CALL_MICROS = 2_500_000;
-    /** From this size on callers wait longer. */
-    private static final int LARGE = 256 << 10;
-    /** The store is asked for the newest version this often, in case its word was lost on the way. */
-    private static final long ASK_MICROS = 1_000_000;
-    /** What edges have seen of servers is told to all of them this often. */
-    private static final long POOL_MICROS = 1_000_000;
+    private static final long LARGE_COMMAND_TIMEOUT_MICROS = 2_500_000;
+    /** From this size on, callers wait longer for the answer. */
+    private static final int LARGE_COMMAND_BYTES = 256 << 10;
+    /** The interval of queries for the store's newest version, in case its message was lost. */
+    private static final long STORE_QUERY_INTERVAL_MICROS = 1_000_000;
+    /** The interval at which the aggregated server speeds are sent to all edges. */
+    private static final long SPEED_INTERVAL_MICROS = 1_000_000;
 
     private static final Log LOG = new Log("registry");
 
-    /** One answer to a call; a second one is let be. */
+    /** Answers a call; only the first answer counts. */
     public interface Reply {
-        /** @param text why, null for nothing to say; a body takes its place */
+        /** @param text the error message, null for none; ignored if there is a body */
         void answer(int status, String text, byte[] body);
     }
 
     /**
-     * What this process is, as its settings and its start have it.
+     * Identity and settings of this process.
      *
      * @param losses how many disks may be lost at the same time
-     * @param firstBoot whether all begin now with empty disks, which are as they should be then
+     * @param firstBoot whether the whole system starts for the first time, so that empty disks are complete
      */
     public record Parameters(
             String ip,
@@ -72,77 +72,80 @@
             int losses,
             boolean firstBoot) {}
 
-    /** What carries an office. */
+    /** What the node needs from the process that runs it. */
     public interface Environment {
-        /** Runs a task later, on the office's thread. */
+        /** Runs a task after a delay, on the node's thread. */
         void schedule(long micros, Runnable task);
 
         /**
-         * Swaps the snapshot for this one, and lets go of what was appended before; {@code done} is told, on the office's
-         * thread, whether it is synced.
+         * Replaces the snapshot and drops the records appended before; {@code done} receives, on the node's thread,
+         * whether the snapshot is synced.
          */
         void writeSnapshot(byte[] record, Consumer<Boolean> done);
 
-        /** Appends to the journal; {@code synced} runs on the office's thread when it is on disk, or never. */
+        /** Appends to the journal; {@code synced} runs on the node's thread once the record is on disk, or never. */
         void append(byte[] record, Runnable synced);
     }
 
-    /** A call that waits for the store. */
-    private record Waiting(Configuration put, Reply reply, long sentAt, long until) {}
+    /** A call that waits for the store; {@code reply} is null for a query of this registry itself. */
+    private record StoreCall(Configuration replacement, Reply reply, long sentAt, long deadline) {}
 
-    private final Parameters self;
+    private final Parameters parameters;
     private final LongSupplier clock;
     private final Neighbours neighbours;
-    private final Environment carrier;
-    private final GossipState board = new GossipState();
-    private final HeartbeatTable registry;
+    private final Environment environment;
+    private final GossipState state = new GossipState();
+    private final HeartbeatTable heartbeats;
     private final Gossip gossip;
-    private final SpeedAggregator pool = new SpeedAggregator();
-    /** Telling who is silent: one registry does it for all. */
-    private final LeaseElection telling;
+    private final SpeedAggregator speeds = new SpeedAggregator();
+    /** Elects the one registry that publishes which servers are silent. */
+    private final LeaseElection silenceElection;
 
-    private final Map<Long, Waiting> waiting = new HashMap<>();
+    private final Map<Long, StoreCall> storeCalls = new HashMap<>();
     private final Set<String> seeds = new LinkedHashSet<>();
     private final SplittableRandom random;
-    private final long begun;
-    private long poolAt;
-    private long lastCall;
-    private long askAt;
-    private boolean recalled;
+    private final long startedAt;
+    private long nextSpeedsAt;
+    private long lastCallId;
+    private long nextStoreQueryAt;
+    private boolean restored;
     private final Quorum quorum;
-    private final DurableNews durable;
-    private final Orders orders;
+    private final DurableState durable;
+    private final ReplicationTracker replication;
 
     /**
-     * Of one process, from its start on.
+     * Creates the node at the start of its process.
      *
-     * @param seeds addresses of core machines as the operator's list had them
-     * @param remembers whether there is a disk to write to
+     * @param seeds addresses of core machines in the operator's list
+     * @param hasDisk whether there is a disk to write to
      */
     public RegistryNode(
-            Parameters self,
+            Parameters parameters,
             Set<String> seeds,
-            boolean remembers,
+            boolean hasDisk,
             long seed,
             LongSupplier clock,
             Neighbours neighbours,
-            Environment carrier) {
-        this.self = self;
+            Environment environment) {
+        this.parameters = parameters;
         this.clock = clock;
         this.neighbours = neighbours;
-        this.carrier = carrier;
+        this.environment = environment;
         this.random = new SplittableRandom(seed);
-        this.begun = clock.getAsLong();
-        this.registry = new HeartbeatTable(board, self.heartbeatMicros);
-        this.gossip = new Gossip(Program.REGISTRY, board, neighbours, clock, this::synced, this::news);
-        this.durable = new DurableNews(board, carrier, remembers, self.firstBoot);
-        this.quorum = new Quorum(self.ip, self.losses, board, durable, neighbours, clock);
-        this.orders = new Orders(self.ip, quorum, durable, gossip, clock);
-        this.telling = new LeaseElection(
-                self.ip, random.nextLong(), ips -> quorum.membership().isMajority(ips), (to, word, term, at) -> {
-                    Neighbour one = neighbours.find(Program.REGISTRY, to);
-                    if (one != null) {
-                        one.send(new PeerMessage.Ballot(word, term, at));
+        this.startedAt = clock.getAsLong();
+        this.heartbeats = new HeartbeatTable(state, parameters.heartbeatMicros);
+        this.gossip = new Gossip(Program.REGISTRY, state, neighbours, clock, this::synced, this::entryChanged);
+        this.durable = new DurableState(state, environment, hasDisk, parameters.firstBoot);
+        this.quorum = new Quorum(parameters.ip, parameters.losses, state, durable, neighbours, clock);
+        this.replication = new ReplicationTracker(parameters.ip, quorum, durable, gossip, clock);
+        this.silenceElection = new LeaseElection(
+                parameters.ip,
+                random.nextLong(),
+                ips -> quorum.membership().isMajority(ips),
+                (to, type, term, sentAt) -> {
+                    Neighbour neighbour = neighbours.find(Program.REGISTRY, to);
+                    if (neighbour != null) {
+                        neighbour.send(new PeerMessage.Ballot(type, term, sentAt));
                     }
                 });
         this.seeds.addAll(seeds);
@@ -152,180 +155,183 @@
         return clock.getAsLong();
     }
 
-    /** The first word on each of its links. */
+    /** Returns the first message on each link. */
     public PeerMessage.Hello hello() {
-        return new PeerMessage.Hello(Program.REGISTRY, self.ip, self.zone, self.controlAddress, self.incarnation);
+        return new PeerMessage.Hello(
+                Program.REGISTRY, parameters.ip, parameters.zone, parameters.controlAddress, parameters.incarnation);
     }
 
-    /** All that it knows; only to be read. */
+    /** Returns the gossip state; callers must not modify it. */
     public GossipState state() {
-        return board;
+        return state;
     }
 
-    /** Another list of core machines. */
-    public void addSeeds(Set<String> more) {
-        seeds.addAll(more);
+    /** Adds addresses of core machines to those from the start. */
+    public void addSeeds(Set<String> addresses) {
+        seeds.addAll(addresses);
     }
 
     /**
-     * Whether it vouches for what it tells: its lease holds, and at the first start of all it has heard the servers.
+     * Returns whether the state is confirmed to be current: the lease is valid and, at the first start of the whole system,
+     * the servers have had time to send heartbeats.
      */
     public boolean synced() {
         long now = now();
-        boolean heardAll = recalled || !self.firstBoot || now - begun > 2 * self.heartbeatMicros;
-        return heardAll && quorum.vouches();
+        boolean heardAll = restored || !parameters.firstBoot || now - startedAt > 2 * parameters.heartbeatMicros;
+        return heardAll && quorum.holdsLease();
     }
 
-    /** By whom it counts. */
+    /** Returns the current membership. */
     public Membership membership() {
         return quorum.membership();
     }
 
-    private void news(Entry item) {
-        durable.changed(item);
-        if (item.kind() == Kind.SPEED) {
-            SpeedReport speeds = SpeedReport.fromEntry(item);
-            if (speeds != null) {
-                pool.report(now(), speeds.edge(), speeds.servers());
+    private void entryChanged(Entry entry) {
+        durable.entryChanged(entry);
+        if (entry.kind() == Kind.SPEED) {
+            SpeedReport report = SpeedReport.fromEntry(entry);
+            if (report != null) {
+                speeds.report(now(), report.edge(), report.servers());
             }
         }
     }
 
-    // ---- what it knew before
+    // ---- restoring from disk
 
     /**
-     * What its disk has: not all of it may hold any more, but it is told to others as what it is, old news.
+     * Restores the state from disk. Some entries may be outdated; they keep their stamps, so that newer ones replace them.
      *
      * @param snapshot null for none
-     * @param journal what was appended since, in order
+     * @param journal the records appended since, in order
      */
     public void restore(byte[] snapshot, List<byte[]> journal) {
-        List<Entry> items = durable.recall(snapshot, journal, now());
-        items.forEach(item -> {
-            board.merge(now(), item);
-            news(item);
+        List<Entry> entries = durable.restore(snapshot, journal, now());
+        entries.forEach(entry -> {
+            state.merge(now(), entry);
+            entryChanged(entry);
         });
-        recalled = !items.isEmpty();
-        if (recalled) {
-            LOG.info("recalls " + board.size() + " pieces of news");
+        restored = !entries.isEmpty();
+        if (restored) {
+            LOG.info("restored " + state.size() + " entries from disk");
         }
     }
 
     // ---- time
 
-    /** To be called each {@link #TICK_MICROS}. */
+    /** Runs the periodic work; called every {@link #TICK_MICROS}. */
     public void tick() {
         long now = now();
-        linkedMachines(now);
-        List<PeerMessage.Heartbeat> beats = new ArrayList<>();
-        registry.takeLocalHeartbeats().forEach((id, seq) -> beats.add(new PeerMessage.Heartbeat(id, seq)));
-        if (!beats.isEmpty()) {
-            neighbours.connected(Program.REGISTRY).forEach(one -> one.send(new PeerMessage.Heartbeats(beats)));
+        publishConnectedMachines(now);
+        List<PeerMessage.Heartbeat> received = new ArrayList<>();
+        heartbeats.takeLocalHeartbeats().forEach((id, seq) -> received.add(new PeerMessage.Heartbeat(id, seq)));
+        if (!received.isEmpty()) {
+            neighbours.connected(Program.REGISTRY).forEach(one -> one.send(new PeerMessage.Heartbeats(received)));
         }
-        telling.tick(now, reached());
-        if (telling.isActive(now)) {
-            registry.detectSilent(now).forEach(gossip::publish);
+        silenceElection.tick(now, connectedRegistries());
+        if (silenceElection.isActive(now)) {
+            heartbeats.detectSilent(now).forEach(gossip::publish);
         }
         gossip.tick();
-        board.removeExpired(now);
-        registry.removeForgotten();
-        durable.forget();
-        orders.tick();
+        state.removeExpired(now);
+        heartbeats.removeForgotten();
+        durable.removeForgotten();
+        replication.removeExpired();
         quorum.tick();
-        durable.tick(now, pool.changed(), quorum);
-        if (pool.changed() && now >= poolAt) {
-            poolAt = now + POOL_MICROS;
-            PeerMessage.ServerSpeeds sum = new PeerMessage.ServerSpeeds(pool.aggregate(now));
-            neighbours.connected(Program.PROXY).forEach(one -> one.send(sum));
-            pool.markSent();
+        durable.tick(now, speeds.changed(), quorum);
+        if (speeds.changed() && now >= nextSpeedsAt) {
+            nextSpeedsAt = now + SPEED_INTERVAL_MICROS;
+            PeerMessage.ServerSpeeds aggregate = new PeerMessage.ServerSpeeds(speeds.aggregate(now));
+            neighbours.connected(Program.PROXY).forEach(one -> one.send(aggregate));
+            speeds.markSent();
         }
-        if (now >= askAt) {
-            askAt = now + TICK_MICROS; // an answer puts it off
-            ask(null);
+        if (now >= nextStoreQueryAt) {
+            nextStoreQueryAt = now + TICK_MICROS; // an answer postpones it
+            queryStore(null);
         }
-        waiting.values().removeIf(call -> {
-            if (now > call.until && call.reply != null) {
+        storeCalls.values().removeIf(call -> {
+            if (now > call.deadline && call.reply != null) {
                 call.reply.answer(503, "not certain", null);
             }
-            return now > call.until;
+            return now > call.deadline;
         });
     }
 
-    /** Addresses of the machines whose registries it wants links to. */
+    /** Returns the addresses of the machines to whose registries this one keeps links. */
     public Set<String> peerAddresses() {
-        Set<String> wanted = new LinkedHashSet<>(seeds);
-        for (Entry item : board.all(Kind.CORE)) {
-            MachineInfo machine = MachineInfo.fromEntry(item);
+        Set<String> addresses = new LinkedHashSet<>(seeds);
+        for (Entry entry : state.all(Kind.CORE)) {
+            MachineInfo machine = MachineInfo.fromEntry(entry);
             if (machine != null && machine.up()) {
-                wanted.add(machine.ip());
+                addresses.add(machine.ip());
             }
         }
-        wanted.remove(self.ip);
-        return wanted;
+        addresses.remove(parameters.ip);
+        return addresses;
     }
 
-    private void linkedMachines(long now) {
-        for (Neighbour one : neighbours.connected()) {
-            PeerMessage.Hello peer = one.hello();
+    private void publishConnectedMachines(long now) {
+        for (Neighbour neighbour : neighbours.connected()) {
+            PeerMessage.Hello peer = neighbour.hello();
             Kind kind = peer.program() == Program.PROXY ? Kind.EDGE : Kind.CORE;
             if (peer.program() != Program.STORE) {
-                publish(registry.machineConnected(
+                publish(heartbeats.machineConnected(
                         now, kind, peer.ip(), peer.zone(), peer.controlAddress(), peer.incarnation()));
             }
         }
-        publish(registry.machineConnected(now, Kind.CORE, self.ip, self.zone, self.controlAddress, self.incarnation));
+        publish(heartbeats.machineConnected(
+                now, Kind.CORE, parameters.ip, parameters.zone, parameters.controlAddress, parameters.incarnation));
     }
 
-    private void publish(Entry item) {
-        if (item != null) {
-            gossip.publish(item);
+    private void publish(Entry entry) {
+        if (entry != null) {
+            gossip.publish(entry);
         }
     }
 
-    /** Other machines with a registry that are reached now. */
-    private Set<String> reached() {
+    /** Returns the other machines whose registries are connected. */
+    private Set<String> connectedRegistries() {
         Set<String> ips = new LinkedHashSet<>();
         neighbours
                 .connected(Program.REGISTRY)
                 .forEach(one -> ips.add(one.hello().ip()));
-        ips.remove(self.ip);
+        ips.remove(parameters.ip);
         return ips;
     }
 
     // ---- the store
 
-    private void ask(Reply reply) {
-        long call = ++lastCall;
-        Entry held = reply == null ? board.get(Kind.CONFIGURATION, "") : null;
-        long until = now() + (reply == null ? VouchingLease.LEASE_MICROS : CALL_MICROS);
-        waiting.put(call, new Waiting(null, reply, now(), until));
-        long known = held == null ? -1 : held.stamp();
-        long knownTerm = held == null ? 0 : held.origin().term();
-        if (!toStore(new PeerMessage.Get(call, known, knownTerm)) && reply != null) {
-            waiting.remove(call);
+    private void queryStore(Reply reply) {
+        long callId = ++lastCallId;
+        Entry current = reply == null ? state.get(Kind.CONFIGURATION, "") : null;
+        long deadline = now() + (reply == null ? ConfirmationLease.LEASE_MICROS : COMMAND_TIMEOUT_MICROS);
+        storeCalls.put(callId, new StoreCall(null, reply, now(), deadline));
+        long knownVersion = current == null ? -1 : current.stamp();
+        long knownTerm = current == null ? 0 : current.origin().term();
+        if (!sendToStore(new PeerMessage.Get(callId, knownVersion, knownTerm)) && reply != null) {
+            storeCalls.remove(callId);
             reply.answer(503, "the store is away", null);
         }
     }
 
-    private boolean toStore(PeerMessage record) {
-        Neighbour store = neighbours.find(Program.STORE, self.ip);
+    private boolean sendToStore(PeerMessage message) {
+        Neighbour store = neighbours.find(Program.STORE, parameters.ip);
         if (store != null) {
-            store.send(record);
+            store.send(message);
         }
         return store != null;
     }
 
-    private void answered(PeerMessage.StoreAnswer answer) {
+    private void storeAnswered(PeerMessage.StoreAnswer answer) {
         if (answer.outcome() != CallOutcome.UNCERTAIN) {
-            holds(answer);
+            publishConfiguration(answer);
         }
         if (answer.callId() == 0) {
-            return; // what the store holds, acknowledged or not: it was valid, so it may be in force
+            return; // the version that the store holds, acknowledged or not: it is valid, so it may be applied
         }
-        Waiting call = waiting.remove(answer.callId());
+        StoreCall call = storeCalls.remove(answer.callId());
         if (call != null && answer.outcome() != CallOutcome.UNCERTAIN) {
             quorum.lease().storeAnswered(call.sentAt);
-            askAt = Math.max(askAt, call.sentAt + ASK_MICROS);
+            nextStoreQueryAt = Math.max(nextStoreQueryAt, call.sentAt + STORE_QUERY_INTERVAL_MICROS);
         }
         if (call == null || call.reply == null) {
             return;
@@ -334,7 +340,7 @@
             case UNCERTAIN -> call.reply.answer(503, "the store is not certain", null);
             case CONFLICT -> call.reply.answer(409, "configVersion: is taken by another content", null);
             case DONE -> {
-                if (call.put != null) {
+                if (call.replacement != null) {
                     call.reply.answer(200, null, null);
                 } else if (answer.version() == 0) {
                     call.reply.answer(404, "no configuration yet", null);
@@ -345,8 +351,8 @@
         }
     }
 
-    /** Tells what the store says that it holds: never this registry's own copy of a call. */
-    private void holds(PeerMessage.StoreAnswer answer) {
+    /** Publishes the configuration that the store reports, never the one of a call to this registry. */
+    private void publishConfiguration(PeerMessage.StoreAnswer answer) {
         if (answer.body() != null && answer.version() > 0) {
             publish(Entry.configuration(answer.version(), answer.term(), answer.digest(), answer.body(), now()));
         }
@@ -354,13 +360,13 @@
 
     // ---- commands
 
-    /** Runs a command of {@code size} bytes; the reply may come later, and comes once. */
-    public void run(Command command, int size, Reply reply) {
+    /** Executes a command of {@code size} bytes; the reply may come later. */
+    public void execute(Command command, int size, Reply reply) {
         long now = now();
-        if (command instanceof Command.Heartbeat beat) {
-            publish(registry.heartbeat(now, beat.server()), reply);
+        if (command instanceof Command.Heartbeat heartbeat) {
+            publish(heartbeats.heartbeat(now, heartbeat.server()), reply);
         } else if (command instanceof Command.Deregister leaving) {
-            publish(registry.deregister(now, leaving.id()), reply);
+            publish(heartbeats.deregister(now, leaving.id()), reply);
         } else if (command instanceof Command.Purge purge) {
             String id = Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong());
             publish(
@@ -368,87 +374,96 @@
                             new PurgeRequest(id, purge.host(), purge.path(), purge.tag()).toEntry(now), true),
                     reply);
         } else if (command instanceof Command.Read) {
-            ask(reply);
+            queryStore(reply);
         } else if (command instanceof Command.Replace replace) {
-            long call = ++lastCall;
-            Configuration wanted = replace.configuration();
-            waiting.put(call, new Waiting(wanted, reply, now, now + (size > LARGE ? LARGE_CALL_MICROS : CALL_MICROS)));
-            if (!toStore(new PeerMessage.Put(call, wanted.version(), wanted.body()))) {
-                waiting.remove(call);
+            long callId = ++lastCallId;
+            Configuration replacement = replace.configuration();
+            storeCalls.put(
+                    callId,
+                    new StoreCall(
+                            replacement,
+                            reply,
+                            now,
+                            now
+                                    + (size > LARGE_COMMAND_BYTES
+                                            ? LARGE_COMMAND_TIMEOUT_MICROS
+                                            : COMMAND_TIMEOUT_MICROS)));
+            if (!sendToStore(new PeerMessage.Put(callId, replacement.version(), replacement.body()))) {
+                storeCalls.remove(callId);
                 reply.answer(503, "the store is away", null);
             }
         }
     }
 
     /**
-     * Makes it news and answers. Where too few members are reached nothing is promised, and the caller is sent elsewhere at
-     * once; it may be true all the same, and those that hear of it may go by it.
+     * Publishes the outcome and answers. If too few members are reachable the call is answered with an error at once, so
+     * that the caller tries another registry; the update may still take effect where it arrives.
      */
     private void publish(HeartbeatTable.Outcome outcome, Reply reply) {
-        boolean promises = quorum.reachesEnough();
-        if (outcome == null || !promises || !outcome.requiresReplication()) {
+        boolean reachable = quorum.reachesDurableSet();
+        if (outcome == null || !reachable || !outcome.requiresReplication()) {
             if (outcome != null) {
                 gossip.publish(outcome.entry());
             }
-            reply.answer(promises ? 200 : 503, promises ? null : "reaches too few other registries", null);
+            reply.answer(reachable ? 200 : 503, reachable ? null : "reaches too few other registries", null);
             return;
         }
-        Entry item = outcome.entry();
-        orders.publish(item, CALL_MICROS, () -> {
-            registry.markReplicated(item.key(), item.stamp());
+        Entry entry = outcome.entry();
+        replication.publish(entry, COMMAND_TIMEOUT_MICROS, () -> {
+            heartbeats.markReplicated(entry.key(), entry.stamp());
             reply.answer(200, null, null);
         });
-        carrier.schedule(CALL_MICROS, () -> reply.answer(503, "too few registries have it on disk", null));
+        environment.schedule(
+                COMMAND_TIMEOUT_MICROS, () -> reply.answer(503, "too few registries have it on disk", null));
     }
 
     // ---- neighbours
 
-    /** A process has come into reach. */
-    public void connected(Neighbour one) {
-        if (one.hello().program() == Program.STORE) {
-            askAt = 0;
-            ask(null);
+    /** Handles a new link to a process. */
+    public void connected(Neighbour neighbour) {
+        if (neighbour.hello().program() == Program.STORE) {
+            nextStoreQueryAt = 0;
+            queryStore(null);
             return;
         }
-        gossip.connected(one);
-        quorum.up();
-        if (one.hello().program() == Program.PROXY) {
-            Map<String, double[]> sum = pool.aggregate(now());
-            if (!sum.isEmpty()) {
-                one.send(new PeerMessage.ServerSpeeds(
-                        sum)); // who has just started chooses servers no more blindly than the others
+        gossip.connected(neighbour);
+        quorum.neighbourConnected();
+        if (neighbour.hello().program() == Program.PROXY) {
+            Map<String, double[]> aggregate = speeds.aggregate(now());
+            if (!aggregate.isEmpty()) {
+                neighbour.send(new PeerMessage.ServerSpeeds(aggregate)); // a new edge gets the speeds at once
             }
         }
-        linkedMachines(now());
+        publishConnectedMachines(now());
     }
 
-    /** It has said something. */
-    public void received(Neighbour one, PeerMessage record) {
-        if (quorum.received(one, record)) {
-            if (quorum.completes()) {
-                durable.tick(now(), pool.changed(), quorum); // whoever is lost next, this disk has to count by then
+    /** Handles a message of a neighbour. */
+    public void received(Neighbour neighbour, PeerMessage message) {
+        if (quorum.received(neighbour, message)) {
+            if (quorum.becomesComplete()) {
+                durable.tick(now(), speeds.changed(), quorum); // this disk must count before another one is lost
             }
             return;
         }
-        if (gossip.received(one, record)) {
-            if (record instanceof PeerMessage.Updates news && news.commandId() != 0) {
-                orders.confirm(one, news);
+        if (gossip.received(neighbour, message)) {
+            if (message instanceof PeerMessage.Updates updates && updates.commandId() != 0) {
+                replication.confirmWhenDurable(neighbour, updates);
             }
             return;
         }
-        if (record instanceof PeerMessage.Heartbeats heard) {
-            heard.heartbeats().forEach(beat -> registry.heartbeatAtPeer(now(), beat.id(), beat.seq()));
-        } else if (record instanceof PeerMessage.Ballot ballot) {
-            telling.receive(now(), one.hello().ip(), ballot.type(), ballot.term(), ballot.sentAt());
-        } else if (record instanceof PeerMessage.StoreAnswer answer) {
-            answered(answer);
-        } else if (record instanceof PeerMessage.Persisted held) {
-            orders.held(held.commandId(), one.hello().ip(), held.term());
-        } else if (record instanceof PeerMessage.Members members
-                && one.hello().ip().equals(self.ip)) {
-            if (quorum.members(members)) {
-                orders.membershipChanged();
-                quorum.tick(); // a new member compares at once: its disk counts only after that
+        if (message instanceof PeerMessage.Heartbeats heard) {
+            heard.heartbeats().forEach(one -> heartbeats.heartbeatAtPeer(now(), one.id(), one.seq()));
+        } else if (message instanceof PeerMessage.Ballot ballot) {
+            silenceElection.receive(now(), neighbour.hello().ip(), ballot.type(), ballot.term(), ballot.sentAt());
+        } else if (message instanceof PeerMessage.StoreAnswer answer) {
+            storeAnswered(answer);
+        } else if (message instanceof PeerMessage.Persisted persisted) {
+            replication.persistedBy(persisted.commandId(), neighbour.hello().ip(), persisted.term());
+        } else if (message instanceof PeerMessage.Members members
+                && neighbour.hello().ip().equals(parameters.ip)) {
+            if (quorum.update(members)) {
+                replication.membershipChanged();
+                quorum.tick(); // a new member compares at once, as its disk counts only after that
             }
         }
     }
