--- a/src/main/java/gorsemast/registry/RegistryProgram.java
+++ b/src/main/java/gorsemast/registry/RegistryProgram.java
@@ -21,8 +21,8 @@
 import java.util.function.Consumer;
 
 /**
- * The registry's program round its {@link RegistryNode}: the listener for servers and operators, links to the other registries,
- * to the store on its own machine, and from the proxies that have chosen it, and the disk. One event loop.
+ * The registry process around a {@link RegistryNode}: the HTTP server for servers and operators, the disk, and the links to
+ * other registries, to the store on its machine, and from the proxies that chose it. Runs on one event loop.
  */
 public final class RegistryProgram implements Daemon, Link.Receiver, RegistryNode.Environment {
     private static final Log LOG = new Log("registry");
@@ -30,20 +30,20 @@
     private final Settings settings;
     private final EventLoop loop;
     private final Links links;
-    private final RegistryNode office;
-    private final long origin = System.nanoTime();
+    private final RegistryNode node;
+    private final long startNanos = System.nanoTime();
     private RegistryDisk disk;
 
-    /** By the platform's settings; nothing begins yet. */
+    /** Creates the process from the platform's settings; {@link #start} starts it. */
     public RegistryProgram(Settings settings) {
         this.settings = settings;
         this.loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
         this.links = new Links(loop, this::now, this::hello, this);
-        this.office = new RegistryNode(
+        this.node = new RegistryNode(
                 new RegistryNode.Parameters(
                         settings.ip(),
                         settings.zone(),
-                        control(),
+                        controlAddress(),
                         System.currentTimeMillis(),
                         settings.heartbeatMicros(),
                         settings.losses(),
@@ -57,16 +57,16 @@
     }
 
     private long now() {
-        return (System.nanoTime() - origin) / 1_000;
+        return (System.nanoTime() - startNanos) / 1_000;
     }
 
     private PeerMessage.Hello hello() {
-        return office.hello();
+        return node.hello();
     }
 
-    private String control() {
-        InetSocketAddress at = settings.listenAddresses().get("control");
-        return at == null ? "" : at.getAddress().getHostAddress() + ":" + at.getPort();
+    private String controlAddress() {
+        InetSocketAddress address = settings.listenAddresses().get("control");
+        return address == null ? "" : address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     @Override
@@ -82,10 +82,10 @@
                     loop.execute(task);
                 }
             });
-            office.restore(disk.snapshot(), disk.journal());
+            node.restore(disk.snapshot(), disk.journal());
         }
         links.listen(Ports.REGISTRY.address(settings, settings.ip()));
-        new ControlServer(loop, office::run).listen(control);
+        new ControlServer(loop, node::execute).listen(control);
         loop.execute(this::tick);
         loop.scheduleWithFixedDelay(
                 this::tick, RegistryNode.TICK_MICROS, RegistryNode.TICK_MICROS, TimeUnit.MICROSECONDS);
@@ -93,12 +93,12 @@
 
     @Override
     public void reload(Settings changed) {
-        loop.execute(() -> office.addSeeds(changed.seedIps()));
+        loop.execute(() -> node.addSeeds(changed.seedIps()));
     }
 
     @Override
     public void stop() {
-        // What is acknowledged is on this disk and on others already.
+        // Nothing to do: acknowledged commands are already on this disk and on others.
     }
 
     @Override
@@ -111,17 +111,17 @@
 
     private void tick() {
         try {
-            Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-            office.peerAddresses().forEach(ip -> wanted.add(Ports.REGISTRY.address(settings, ip)));
-            wanted.add(Ports.STORE.address(settings, settings.ip()));
-            links.setTargets(wanted);
-            office.tick();
+            Set<InetSocketAddress> targets = new LinkedHashSet<>();
+            node.peerAddresses().forEach(ip -> targets.add(Ports.REGISTRY.address(settings, ip)));
+            targets.add(Ports.STORE.address(settings, settings.ip()));
+            links.setTargets(targets);
+            node.tick();
         } catch (RuntimeException e) {
             LOG.internalError(e);
         }
     }
 
-    // ---- what the office wants done
+    // ---- environment of the node
 
     @Override
     public void schedule(long micros, Runnable task) {
@@ -130,7 +130,7 @@
 
     @Override
     public void writeSnapshot(byte[] record, Consumer<Boolean> done) {
-        disk.remember(record, done);
+        disk.writeSnapshot(record, done);
     }
 
     @Override
@@ -141,17 +141,17 @@
     // ---- links
 
     @Override
-    public void connected(Neighbour one) {
-        office.connected(one);
+    public void connected(Neighbour neighbour) {
+        node.connected(neighbour);
     }
 
     @Override
-    public void disconnected(Neighbour one) {
-        // what it told holds on
+    public void disconnected(Neighbour neighbour) {
+        // nothing to do: its updates stay valid
     }
 
     @Override
-    public void received(Neighbour one, PeerMessage record) {
-        office.received(one, record);
+    public void received(Neighbour neighbour, PeerMessage message) {
+        node.received(neighbour, message);
     }
 }
--- a/src/main/java/gorsemast/registry/SpeedAggregator.java
+++ b/src/main/java/gorsemast/registry/SpeedAggregator.java
@@ -4,58 +4,58 @@
 import java.util.Map;
 
 /**
- * What all edges together have seen of servers' speeds, as one registry knows it.
+ * Aggregates the server speeds that all edges report to one registry.
  *
- * <p><b>Idea.</b> An edge alone sees a handful of answers a second; each tells the registries what it has seen, and each is
- * told one sum by them, whose length follows the number of servers and not that of edges. A server's slowness is the mean
- * over edges, each by how much it has seen, {@link #MOST_SEEN} answers at most: one that lies moves little where there are
- * many. What an edge has told is let go after {@link #TOLD_MICROS}.
+ * <p>A single edge sees only a handful of answers a second. Each edge reports what it measured to the registries and
+ * receives one aggregate, whose size depends on the number of servers and not of edges. A server's slowness is the mean
+ * over edges, weighted by their numbers of answers, at most {@link #MAX_ANSWERS_PER_EDGE}, so that one edge with wrong
+ * figures has little weight among many. A report expires after {@link #REPORT_LIFETIME_MICROS}.
  *
- * <p>O(edges) a server at each sum. One thread; times in microseconds.
+ * <p>An aggregation takes O(edges) per server. Not thread-safe; times in microseconds.
  */
 public final class SpeedAggregator {
-    static final double MOST_SEEN = 20;
-    static final long TOLD_MICROS = 20_000_000;
-    private static final double LEAST = 0.33;
-    private static final double MOST = 4;
+    static final double MAX_ANSWERS_PER_EDGE = 20;
+    static final long REPORT_LIFETIME_MICROS = 20_000_000;
+    private static final double MIN_SLOWNESS = 0.33;
+    private static final double MAX_SLOWNESS = 4;
 
-    private record Told(Map<String, double[]> servers, long at) {}
+    private record Report(Map<String, double[]> servers, long receivedAt) {}
 
-    private final Map<String, Told> edges = new HashMap<>();
+    private final Map<String, Report> reports = new HashMap<>();
     private boolean changed;
 
-    /** An edge has told: by server how many times as long as usual it takes, and by how many answers that is known. */
+    /** Takes the report of an edge: by server, its slowness relative to the others, and the number of answers measured. */
     public void report(long now, String edge, Map<String, double[]> servers) {
-        edges.put(edge, new Told(servers, now));
+        reports.put(edge, new Report(servers, now));
         changed = true;
     }
 
-    /** Whether anything was told since the sum was last passed on to all. */
+    /** Returns whether a report has arrived since the aggregate was last sent to all edges. */
     public boolean changed() {
         return changed;
     }
 
-    /** The sum has been passed on to all. */
+    /** Notes that the aggregate has been sent to all edges. */
     public void markSent() {
         changed = false;
     }
 
-    /** The sum over all edges, in the same form as they tell it; a new map. */
+    /** Returns the aggregate over all edges as a new map, in the form of the reports. */
     public Map<String, double[]> aggregate(long now) {
-        edges.values().removeIf(told -> now - told.at > TOLD_MICROS);
-        Map<String, double[]> all = new HashMap<>();
-        for (Told told : edges.values()) {
-            told.servers.forEach((server, seen) -> {
-                double answers = Math.max(0, Math.min(MOST_SEEN, seen[1]));
-                if (Double.isFinite(seen[0]) && answers > 0) {
-                    double slowness = Math.max(LEAST, Math.min(MOST, seen[0]));
-                    double[] sum = all.computeIfAbsent(server, id -> new double[2]);
+        reports.values().removeIf(report -> now - report.receivedAt > REPORT_LIFETIME_MICROS);
+        Map<String, double[]> aggregated = new HashMap<>();
+        for (Report report : reports.values()) {
+            report.servers.forEach((server, observed) -> {
+                double answers = Math.max(0, Math.min(MAX_ANSWERS_PER_EDGE, observed[1]));
+                if (Double.isFinite(observed[0]) && answers > 0) {
+                    double slowness = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, observed[0]));
+                    double[] sum = aggregated.computeIfAbsent(server, id -> new double[2]);
                     sum[0] += slowness * answers;
                     sum[1] += answers;
                 }
             });
         }
-        all.values().forEach(sum -> sum[0] /= sum[1]);
-        return all;
+        aggregated.values().forEach(sum -> sum[0] /= sum[1]);
+        return aggregated;
     }
 }
--- a/src/main/java/gorsemast/registry/package-info.java
+++ b/src/main/java/gorsemast/registry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The registry: takes every call from servers and operators, keeps who there is, and passes the rest on.
- * {@link gorsemast.registry.RegistryNode} and {@link gorsemast.registry.HeartbeatTable} decide without I/O; {@code RegistryProgram} is the program round
- * them.
+ * The registry: serves all calls of servers and operators, tracks servers and machines, and passes configurations to the
+ * store. {@link gorsemast.registry.RegistryNode} and {@link gorsemast.registry.HeartbeatTable} decide without I/O;
+ * {@code RegistryProgram} runs them.
  */
 package gorsemast.registry;
--- a/src/main/java/gorsemast/simulation/CoreProcesses.java
+++ b/src/main/java/gorsemast/simulation/CoreProcesses.java
@@ -71,7 +71,7 @@
                 own.ordered(command);
                 sent = command instanceof Command.Replace replace ? replace.configuration() : sent;
                 if (!PlantedRegistry.answers(world.plant, office, command, reply)) {
-                    office.run(command, body.length, reply);
+                    office.execute(command, body.length, reply);
                 }
             } catch (CommandException e) {
                 reply.answer(e.code().status(), e.getMessage(), null);
--- a/src/test/java/gorsemast/node/SettingsTest.java
+++ b/src/test/java/gorsemast/node/SettingsTest.java
@@ -11,7 +11,7 @@
 import org.snakeyaml.engine.v2.api.Load;
 import org.snakeyaml.engine.v2.api.LoadSettings;
 
-/** The platform's settings file: what is read, and where a faulty one is faulty. */
+/** Tests parsing of the settings file and the place that error messages name. */
 class SettingsTest {
     private static final String GOOD =
             """
@@ -54,7 +54,7 @@
         """;
 
     @Test
-    void aMachinesSettingsAreRead() {
+    void parsesTheSettingsOfAMachine() {
         Settings settings = Settings.parse(GOOD);
         assertThat(settings.name()).isEqualTo("edge-1");
         assertThat(settings.zoneIndex(settings.zone())).isEqualTo(1);
@@ -75,7 +75,7 @@
     }
 
     @Test
-    void thePlainReaderSaysWhatTheLibrarySays() {
+    void plainParserAgreesWithTheLibrary() {
         assertThat((Object) PlainYaml.read(GOOD))
                 .isEqualTo(new Load(LoadSettings.builder().build()).loadFromString(GOOD));
     }
@@ -104,7 +104,7 @@
                 "- 1",
                 ""
             })
-    void whatIsNotPlainIsLeftToTheLibrary(String text) {
+    void plainParserRejectsOtherFormsOfYaml(String text) {
         assertThat((Object) PlainYaml.read(text)).isNull();
     }
 
@@ -113,19 +113,19 @@
             delimiter = '|',
             value = {
                 "nodeName: \"edge-1\"|# gone|nodeName: is missing",
-                "  - 7675|  - 70000|internalPorts: wants two ports",
+                "  - 7675|  - 70000|internalPorts: must be two ports",
                 "heartbeat: \"1500ms\"|heartbeat: \"soon\"|heartbeat: wants a time",
-                "10.1.0.39:8146|here:1|seedNodes: wants ip:port",
+                "10.1.0.39:8146|here:1|seedNodes: must be ip:port",
                 "drain: \"2s\"|drain: \"2 s\"|timingBounds.drain: wants a time",
-                "machineLosses: 1|machineLosses: -1|faultTolerance.machineLosses: wants 0 to",
-                "zones: 0|zones: \"no\"|faultTolerance.zones: wants a whole number",
-                "regionLosses: 1|regionLosses: 1.5|faultTolerance.regionLosses: wants a whole number",
-                "lossCounted: false|lossCounted: 0|lossCounted: wants true or false",
+                "machineLosses: 1|machineLosses: -1|faultTolerance.machineLosses: must be 0 to",
+                "zones: 0|zones: \"no\"|faultTolerance.zones: must be a whole number",
+                "regionLosses: 1|regionLosses: 1.5|faultTolerance.regionLosses: must be a whole number",
+                "lossCounted: false|lossCounted: 0|lossCounted: must be true or false",
                 "listenAddrs:|listenAddrs: [|line 1"
             })
-    void aFaultIsToldWithItsPlace(String from, String to, String told) {
+    void errorMessageNamesTheInvalidKey(String from, String to, String expected) {
         assertThatThrownBy(() -> Settings.parse(GOOD.replace(from, to)))
                 .isInstanceOf(SettingsException.class)
-                .hasMessageContaining(told.equals("line 1") ? "line " : told);
+                .hasMessageContaining(expected.equals("line 1") ? "line " : expected);
     }
 }
--- a/src/test/java/gorsemast/peer/GossipCatchUpTest.java
+++ b/src/test/java/gorsemast/peer/GossipCatchUpTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whoever was away for 600 changes, purges and drains holds what the others hold within {@code contact}. */
+/** Tests that a process that missed 600 updates of each kind holds the state of the others within {@code contact}. */
 class GossipCatchUpTest {
     private static final long TICK_MICROS = 250_000;
     private static final long CONTACT_MICROS = 3_000_000;
@@ -37,19 +37,19 @@
     private final VirtualTime time = new VirtualTime(10_000_000);
     private final SplittableRandom random = new SplittableRandom(5);
     private final List<Node> nodes = new ArrayList<>();
-    private Predicate<PeerMessage> drops = record -> false;
+    private Predicate<PeerMessage> isDropped = message -> false;
 
-    /** A process that gossips. */
+    /** A process that runs the gossip protocol. */
     private final class Node implements Neighbours {
         private final Hello hello;
-        private final GossipState board = new GossipState();
-        private final List<End> ends = new ArrayList<>();
+        private final GossipState state = new GossipState();
+        private final List<LinkEnd> ends = new ArrayList<>();
         private final Gossip gossip;
-        private boolean away;
+        private boolean offline;
 
         Node(Program program, int number) {
             hello = new Hello(program, "10.0." + program.ordinal() + "." + number, "a", "", 1);
-            gossip = new Gossip(program, board, this, time::now, () -> true, entry -> {});
+            gossip = new Gossip(program, state, this, time::now, () -> true, entry -> {});
             nodes.add(this);
             tick();
         }
@@ -66,13 +66,13 @@
     }
 
     /** One side of a link. */
-    private final class End implements Neighbour {
-        private final Node of;
+    private final class LinkEnd implements Neighbour {
+        private final Node local;
         private final Node other;
-        private End far;
+        private LinkEnd remote;
 
-        End(Node of, Node other) {
-            this.of = of;
+        LinkEnd(Node local, Node other) {
+            this.local = local;
             this.other = other;
         }
 
@@ -82,30 +82,30 @@
         }
 
         @Override
-        public void send(PeerMessage record) {
-            if (of.away || other.away || drops.test(record)) {
-                return; // lost, though the link may stay
+        public void send(PeerMessage message) {
+            if (local.offline || other.offline || isDropped.test(message)) {
+                return; // lost, although the link may stay up
             }
-            byte[] bytes = written(record);
+            byte[] bytes = encode(message);
             time.after(3_000, () -> {
-                if (!other.away && other.ends.contains(far)) {
-                    other.gossip.received(far, read(bytes));
+                if (!other.offline && other.ends.contains(remote)) {
+                    other.gossip.received(remote, decode(bytes));
                 }
             });
         }
     }
 
-    private byte[] written(PeerMessage record) {
+    private byte[] encode(PeerMessage message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (DataOutputStream out = new DataOutputStream(bytes)) {
-            record.write(out, time.now());
+            message.write(out, time.now());
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
         return bytes.toByteArray();
     }
 
-    private PeerMessage read(byte[] bytes) {
+    private PeerMessage decode(byte[] bytes) {
         try {
             return PeerMessage.read(new DataInputStream(new ByteArrayInputStream(bytes)), time.now());
         } catch (IOException e) {
@@ -114,10 +114,10 @@
     }
 
     private void link(Node a, Node b) {
-        End mine = new End(a, b);
-        End theirs = new End(b, a);
-        mine.far = theirs;
-        theirs.far = mine;
+        LinkEnd mine = new LinkEnd(a, b);
+        LinkEnd theirs = new LinkEnd(b, a);
+        mine.remote = theirs;
+        theirs.remote = mine;
         a.ends.add(mine);
         b.ends.add(theirs);
         a.gossip.connected(mine);
@@ -129,8 +129,8 @@
         a.ends.clear();
     }
 
-    /** Three registries, each linked to the others; each proxy to two of them and to the proxy before it. */
-    private void network(int proxies) {
+    /** Links three registries with each other, and each proxy with two of them and with the previous proxy. */
+    private void linkNetwork(int proxies) {
         for (int i = 0; i < 3; i++) {
             Node registry = new Node(Program.REGISTRY, i);
             nodes.stream().filter(other -> other != registry).forEach(other -> link(registry, other));
@@ -155,88 +155,89 @@
         }
     }
 
-    private void changes(Node away) {
+    private void publishChanges(Node away) {
         for (int change = 1; change <= CHANGES; change++) {
             List<Node> registries =
                     nodes.subList(0, 3).stream().filter(one -> one != away).toList();
-            Gossip at = registries.get(random.nextInt(registries.size())).gossip;
+            Gossip registry = registries.get(random.nextInt(registries.size())).gossip;
             long now = time.now();
-            at.publish(new Entry(Kind.CONFIGURATION, "", change, CONFIGURATION, now));
-            at.publish(new PurgeRequest("p" + change, "h.example", "/o/" + change, "").toEntry(now));
-            ServerInfo.State state = ServerInfo.State.values()[random.nextInt(ServerInfo.State.values().length)];
-            at.publish(new ServerInfo("s" + change % SERVERS, "orders", "10.9.0.1:80", "a", 1, state, change, 0)
-                    .toEntry(now));
+            registry.publish(new Entry(Kind.CONFIGURATION, "", change, CONFIGURATION, now));
+            registry.publish(new PurgeRequest("p" + change, "h.example", "/o/" + change, "").toEntry(now));
+            ServerInfo.State serverState = ServerInfo.State.values()[random.nextInt(ServerInfo.State.values().length)];
+            registry.publish(
+                    new ServerInfo("s" + change % SERVERS, "orders", "10.9.0.1:80", "a", 1, serverState, change, 0)
+                            .toEntry(now));
             time.run(now + CHANGE_MICROS);
         }
     }
 
-    private long caughtUpAfter(Node away) {
-        long begun = time.now();
+    private long catchUpTime(Node away) {
+        long startedAt = time.now();
         for (Node other : nodes) {
-            assertThat(other == away || same(other, nodes.get(away == nodes.get(0) ? 1 : 0)))
+            assertThat(other == away || sameState(other, nodes.get(away == nodes.get(0) ? 1 : 0)))
                     .isTrue();
         }
-        Node whole = nodes.get(away == nodes.get(0) ? 1 : 0);
-        time.run(begun + 2 * CONTACT_MICROS, 1, () -> same(away, whole));
-        assertThat(same(away, whole)).isTrue();
-        assertThat(away.board.get(Kind.CONFIGURATION, "").stamp()).isEqualTo(CHANGES);
-        assertThat(away.board.all(Kind.PURGE)).hasSize(CHANGES);
-        return time.now() - begun;
+        Node reference = nodes.get(away == nodes.get(0) ? 1 : 0);
+        time.run(startedAt + 2 * CONTACT_MICROS, 1, () -> sameState(away, reference));
+        assertThat(sameState(away, reference)).isTrue();
+        assertThat(away.state.get(Kind.CONFIGURATION, "").stamp()).isEqualTo(CHANGES);
+        assertThat(away.state.all(Kind.PURGE)).hasSize(CHANGES);
+        return time.now() - startedAt;
     }
 
-    private static boolean same(Node one, Node other) {
-        return one.board.differingBuckets(other.board.digest()) == 0;
+    private static boolean sameState(Node one, Node other) {
+        return one.state.differingBuckets(other.state.digest()) == 0;
     }
 
-    /** Its links were down, and come back. */
+    /** The links were down and are reconnected. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 3, 8})
-    void whoeverWasCutOffHoldsAllAsSoonAsALinkIsUp(int number) {
-        network(6);
+    void catchesUpAtOnceWhenLinksReconnect(int number) {
+        linkNetwork(6);
         Node away = nodes.get(number);
-        away.away = true;
+        away.offline = true;
         unlink(away);
-        changes(away);
-        away.away = false;
+        publishChanges(away);
+        away.offline = false;
         join(away);
-        assertThat(caughtUpAfter(away)).isLessThan(CONTACT_MICROS / 10);
+        assertThat(catchUpTime(away)).isLessThan(CONTACT_MICROS / 10);
     }
 
-    /** Its links stayed and lost everything, as no link of ours does: the digests of ticks alone mend that. */
+    /** The links stay up but lose every message, as real links do not; only the periodic digests repair that. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 3, 8})
-    void whoeverHeardNothingOverItsLinksHoldsAllInATickOrTwo(int number) {
-        network(6);
+    void catchesUpByPeriodicDigestsAlone(int number) {
+        linkNetwork(6);
         Node away = nodes.get(number);
-        away.away = true;
-        changes(away);
-        away.away = false;
-        assertThat(caughtUpAfter(away)).isLessThan(CONTACT_MICROS);
+        away.offline = true;
+        publishChanges(away);
+        away.offline = false;
+        assertThat(catchUpTime(away)).isLessThan(CONTACT_MICROS);
     }
 
-    /** A registry of many proxies tells one link a tick; a proxy's own ticks go round its few links. */
+    /** A registry with many proxies sends one digest a tick; the proxy's own ticks cover its few links. */
     @Test
-    void aProxyAmongManyIsNoSlower() {
-        network(120);
+    void catchesUpAsFastAmongManyProxies() {
+        linkNetwork(120);
         Node away = nodes.get(60);
-        away.away = true;
-        changes(away);
-        away.away = false;
-        assertThat(caughtUpAfter(away)).isLessThan(CONTACT_MICROS);
+        away.offline = true;
+        publishChanges(away);
+        away.offline = false;
+        assertThat(catchUpTime(away)).isLessThan(CONTACT_MICROS);
     }
 
-    /** Planted: without digests nothing mends a gap. */
+    /** Injected defect: without digests no gap is repaired. */
     @Test
-    void withoutDigestsItStaysBehind() {
-        network(6);
+    void doesNotCatchUpWithoutDigests() {
+        linkNetwork(6);
         Node away = nodes.get(8);
-        away.away = true;
+        away.offline = true;
         unlink(away);
-        changes(away);
-        away.away = false;
-        drops = record -> record instanceof PeerMessage.Digest;
+        publishChanges(away);
+        away.offline = false;
+        isDropped = message -> message instanceof PeerMessage.Digest;
         join(away);
         time.run(time.now() + 2 * CONTACT_MICROS);
-        assertThat(same(away, nodes.get(0))).isFalse();
+        assertThat(sameState(away, nodes.get(0))).isFalse();
     }
 }
--- a/src/test/java/gorsemast/standin/ProcessesTest.java
+++ b/src/test/java/gorsemast/standin/ProcessesTest.java
@@ -267,6 +267,6 @@
                 network.settings(NET + ".9", "bad", true, false, null).replace("internalPorts:", "inner:"));
         assertThat(running.get("bad").waitFor(20, TimeUnit.SECONDS)).isTrue();
         assertThat(running.get("bad").exitValue()).isEqualTo(1);
-        assertThat(log("bad")).contains("internalPorts: wants a list");
+        assertThat(log("bad")).contains("internalPorts: must be a list");
     }
 }
