--- a/src/main/java/gorsemast/registry/DurableState.java
+++ b/src/main/java/gorsemast/registry/DurableState.java
@@ -88,7 +88,7 @@
             writingSnapshot = false;
             changed |= !synced;
             if (synced && becomesComplete && term == quorum.membership().term()) {
-                LOG.info("the disk is complete as of term " + term);
+                LOG.info("the disk is complete from term " + term + " on");
                 complete = true;
             }
             changed |= becomesComplete && !complete; // the snapshot says complete, which no longer holds
