--- a/src/main/java/gorsemast/configuration/Configuration.java
+++ b/src/main/java/gorsemast/configuration/Configuration.java
@@ -17,11 +17,11 @@
 import java.util.Set;
 
 /**
- * One version of the operator's configuration, checked, with the bytes that it came as: what is read back is what was
- * sent. Immutable; any thread.
+ * One validated version of the operator's configuration, with the bytes that it was received as: what is read back is
+ * what was sent. Immutable.
  *
- * @param version the highest holds
- * @param body as it was sent; not to be written to
+ * @param version the highest version wins
+ * @param body as it was sent; not to be modified
  * @param routes by host, the longest prefix first
  */
 public record Configuration(
@@ -31,17 +31,17 @@
     private static final int HEX = 16;
 
     /**
-     * A service.
+     * A backend service.
      *
-     * @param maxConnections that one of its servers takes from all callers together
-     * @param ratePerSecond that its servers together are to get at most; infinite where nothing is said
+     * @param maxConnections how many connections one of its servers accepts from all callers together
+     * @param ratePerSecond how many requests its servers together may receive at most; infinite where not configured
      */
     public record Service(String name, String healthPath, int maxConnections, double ratePerSecond) {}
 
-    /** What clients may send and how long they may take. */
+    /** The limits on client requests: sizes and times. */
     public record Limits(int headerBytes, long bodyBytes, long headerMicros, long idleMicros) {}
 
-    /** Reads and checks a body; throws {@link ConfigurationException}. */
+    /** Parses and validates a body; throws {@link ConfigurationException}. */
     public static Configuration parse(byte[] body) {
         Map<String, Object> root = object("body", read(body));
         long version = version(root.get("configVersion"));
@@ -68,17 +68,18 @@
         for (Object entry : list("virtualHosts", root.get("virtualHosts"))) {
             Map<String, Object> host = object("virtualHosts", entry);
             String name = normalizeHost(text("virtualHosts.hostname", host.get("hostname")));
-            List<Route> of = routes.computeIfAbsent(name, n -> new ArrayList<>());
-            Set<String> places = new HashSet<>();
-            of.forEach(route -> places.add(route.prefix()));
+            List<Route> hostRoutes = routes.computeIfAbsent(name, n -> new ArrayList<>());
+            Set<String> prefixes = new HashSet<>();
+            hostRoutes.forEach(route -> prefixes.add(route.prefix()));
             for (Object rule : list("virtualHosts." + name + ".pathRules", host.get("pathRules"))) {
                 Route route = route(name, object("virtualHosts." + name + ".pathRules", rule), services);
-                if (!places.add(route.prefix())) {
+                if (!prefixes.add(route.prefix())) {
                     throw new ConfigurationException(Code.SAME_PLACE, route.name(), "stands at a place that is taken");
                 }
-                of.add(route);
+                hostRoutes.add(route);
             }
-            of.sort((a, b) -> Integer.compare(b.prefix().length(), a.prefix().length()));
+            hostRoutes.sort(
+                    (a, b) -> Integer.compare(b.prefix().length(), a.prefix().length()));
         }
         return new Configuration(version, body, routes, services, limits(root.get("limits")));
     }
@@ -87,13 +88,13 @@
         try {
             JsonReader<Object> reader = JSON.newReader(body, body.length);
             reader.getNextToken();
-            Object whole = ObjectConverter.deserializeObject(reader);
+            Object root = ObjectConverter.deserializeObject(reader);
             for (int at = reader.getCurrentIndex(); at < body.length; at++) {
                 if (body[at] != ' ' && body[at] != '\n' && body[at] != '\r' && body[at] != '\t') {
                     throw new ConfigurationException(Code.UNREADABLE, "byte " + at, "something follows the end");
                 }
             }
-            return whole;
+            return root;
         } catch (IOException | RuntimeException e) {
             if (e instanceof ConfigurationException known) {
                 throw known;
@@ -102,15 +103,15 @@
         }
     }
 
-    /** A version's number from its eight digits. */
-    private static long version(Object told) {
-        String text = text("configVersion", told);
+    /** Parses a version number of eight hexadecimal digits. */
+    private static long version(Object value) {
+        String text = text("configVersion", value);
         try {
             if (text.length() == VERSION_DIGITS && text.charAt(0) != '+' && text.charAt(0) != '-') {
                 return Long.parseLong(text, HEX);
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
         throw new ConfigurationException(Code.WRONG_TYPE, "configVersion", "wants eight hexadecimal digits");
     }
@@ -128,7 +129,7 @@
                     case "non_idempotent" -> Route.Kind.NON_IDEMPOTENT;
                     default -> throw new ConfigurationException(Code.WRONG_TYPE, name + ".routeType", "is not known");
                 };
-        List<Route.WeightedService> to = new ArrayList<>();
+        List<Route.WeightedService> targets = new ArrayList<>();
         if (rule.get("weightedBackends") != null) {
             double sum = 0;
             for (Object entry : list(name + ".weightedBackends", rule.get("weightedBackends"))) {
@@ -138,16 +139,16 @@
                     throw new ConfigurationException(Code.BELOW_ZERO, name, "has a weight below 0");
                 }
                 sum += weight;
-                to.add(new Route.WeightedService(
+                targets.add(new Route.WeightedService(
                         text(name + ".weightedBackends.backend", part.get("backend")), weight));
             }
             if (!(sum > 0) || Double.isInfinite(sum)) {
                 throw new ConfigurationException(Code.NO_WEIGHT, name, "has weights that total 0");
             }
         } else {
-            to.add(new Route.WeightedService(text(name + ".backend", rule.get("backend")), 1));
+            targets.add(new Route.WeightedService(text(name + ".backend", rule.get("backend")), 1));
         }
-        for (Route.WeightedService part : to) {
+        for (Route.WeightedService part : targets) {
             if (!services.containsKey(part.service())) {
                 throw new ConfigurationException(
                         Code.UNKNOWN_SERVICE, name, "names the unknown service " + part.service());
@@ -161,7 +162,7 @@
         if (timeout <= 0) {
             throw new ConfigurationException(Code.WRONG_TYPE, name + ".timeout", "has to be above 0");
         }
-        Object aim = rule.get("targetLatency");
+        Object targetLatency = rule.get("targetLatency");
         Object ttl = rule.get("cacheTtl");
         Object priority = rule.get("priority");
         return new Route(
@@ -170,31 +171,31 @@
                 prefix,
                 kind,
                 timeout,
-                aim == null ? timeout : time(name + ".targetLatency", aim),
+                targetLatency == null ? timeout : time(name + ".targetLatency", targetLatency),
                 priority == null ? 0 : (int) number(name + ".priority", priority),
-                List.copyOf(to),
+                List.copyOf(targets),
                 (int) attempts,
                 ttl == null || kind != Route.Kind.CACHEABLE ? 0 : time(name + ".cacheTtl", ttl));
     }
 
-    private static Limits limits(Object told) {
-        Map<String, Object> given = told == null ? Map.of() : object("limits", told);
-        Object header = given.get("maxHeaderBytes");
-        Object bytes = given.get("maxBodyBytes");
-        Object slowest = given.get("headerTimeout");
-        Object idle = given.get("idleTimeout");
+    private static Limits limits(Object value) {
+        Map<String, Object> given = value == null ? Map.of() : object("limits", value);
+        Object headerBytes = given.get("maxHeaderBytes");
+        Object bodyBytes = given.get("maxBodyBytes");
+        Object headerTimeout = given.get("headerTimeout");
+        Object idleTimeout = given.get("idleTimeout");
         return new Limits(
-                header == null ? 16_384 : (int) number("limits.maxHeaderBytes", header),
-                bytes == null ? 64L << 20 : (long) number("limits.maxBodyBytes", bytes),
-                slowest == null ? 3_000_000 : time("limits.headerTimeout", slowest),
-                idle == null ? 15_000_000 : time("limits.idleTimeout", idle));
+                headerBytes == null ? 16_384 : (int) number("limits.maxHeaderBytes", headerBytes),
+                bodyBytes == null ? 64L << 20 : (long) number("limits.maxBodyBytes", bodyBytes),
+                headerTimeout == null ? 3_000_000 : time("limits.headerTimeout", headerTimeout),
+                idleTimeout == null ? 15_000_000 : time("limits.idleTimeout", idleTimeout));
     }
 
-    /** The route of a request; null where there is none. The query is not part of {@code path}. */
+    /** Returns the route of a request; null where there is none. The query is not part of {@code path}. */
     public Route route(String host, String path) {
-        List<Route> of = routes.get(host);
-        if (of != null) {
-            for (Route route : of) {
+        List<Route> hostRoutes = routes.get(host);
+        if (hostRoutes != null) {
+            for (Route route : hostRoutes) {
                 if (path.startsWith(route.prefix())) {
                     return route;
                 }
@@ -203,57 +204,58 @@
         return null;
     }
 
-    /** All routes that lead to each service; a new map. */
+    /** Returns all routes that lead to each service, in a new map. */
     public Map<String, List<Route>> routesByService() {
-        Map<String, List<Route>> by = new LinkedHashMap<>();
+        Map<String, List<Route>> routesByService = new LinkedHashMap<>();
         routes.values()
-                .forEach(of -> of.forEach(route -> route.services()
-                        .forEach(part -> by.computeIfAbsent(part.service(), name -> new ArrayList<>())
+                .forEach(hostRoutes ->
+                        hostRoutes.forEach(route -> route.services().forEach(part -> routesByService
+                                .computeIfAbsent(part.service(), name -> new ArrayList<>())
                                 .add(route))));
-        return by;
+        return routesByService;
     }
 
-    /** A host as it is looked up: in lower case, without a port. */
-    public static String normalizeHost(String told) {
-        int colon = told.lastIndexOf(':');
-        String bare = colon > 0 && colon > told.lastIndexOf(']') ? told.substring(0, colon) : told;
+    /** Returns a host in the form used for lookups: lower case, without a port. */
+    public static String normalizeHost(String host) {
+        int colon = host.lastIndexOf(':');
+        String bare = colon > 0 && colon > host.lastIndexOf(']') ? host.substring(0, colon) : host;
         return bare.toLowerCase(Locale.ROOT);
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> object(String at, Object value) {
+    private static Map<String, Object> object(String key, Object value) {
         if (value instanceof Map<?, ?> map) {
             return (Map<String, Object>) map;
         }
-        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, at, "wants an object");
+        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, key, "wants an object");
     }
 
-    private static List<?> list(String at, Object value) {
+    private static List<?> list(String key, Object value) {
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, at, "wants a list");
+        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, key, "wants a list");
     }
 
-    private static String text(String at, Object value) {
+    private static String text(String key, Object value) {
         if (value instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, at, "wants a text");
+        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, key, "wants a text");
     }
 
-    private static double number(String at, Object value) {
+    private static double number(String key, Object value) {
         if (value instanceof Number number && !Double.isNaN(number.doubleValue())) {
             return number.doubleValue();
         }
-        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, at, "wants a number");
+        throw new ConfigurationException(value == null ? Code.MISSING : Code.WRONG_TYPE, key, "wants a number");
     }
 
-    private static long time(String at, Object value) {
+    private static long time(String key, Object value) {
         try {
-            return Settings.micros(at, text(at, value));
+            return Settings.micros(key, text(key, value));
         } catch (SettingsException e) {
-            throw new ConfigurationException(Code.WRONG_TYPE, at, "wants a time such as 1500ms");
+            throw new ConfigurationException(Code.WRONG_TYPE, key, "wants a time such as 1500ms");
         }
     }
 }
--- a/src/main/java/gorsemast/configuration/ConfigurationException.java
+++ b/src/main/java/gorsemast/configuration/ConfigurationException.java
@@ -1,10 +1,10 @@
 package gorsemast.configuration;
 
-/** A configuration that is refused: why, and at which key. */
+/** A refused configuration: the reason and the key at fault. */
 public final class ConfigurationException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What is wrong with it. */
+    /** The reason of the refusal. */
     public enum Code {
         UNREADABLE,
         MISSING,
@@ -18,12 +18,12 @@
 
     private final Code code;
 
-    ConfigurationException(Code code, String at, String text) {
-        super(at + ": " + text);
+    ConfigurationException(Code code, String key, String reason) {
+        super(key + ": " + reason);
         this.code = code;
     }
 
-    /** What is wrong with it. */
+    /** Returns the reason of the refusal. */
     public Code code() {
         return code;
     }
--- a/src/main/java/gorsemast/configuration/ContentDigest.java
+++ b/src/main/java/gorsemast/configuration/ContentDigest.java
@@ -8,22 +8,22 @@
 
 /**
  * The identity of a configuration's content: the first 16 bytes of SHA-256 over the body as it was sent. Bodies that
- * differ in spacing alone differ here. Immutable; any thread.
+ * differ only in whitespace have different digests. Immutable.
  *
  * @param high the first eight bytes
- * @param low the next eight
+ * @param low the next eight bytes
  */
 public record ContentDigest(long high, long low) implements Comparable<ContentDigest> {
-    /** Of what has no content. */
+    /** The digest that stands for no content. */
     public static final ContentDigest NONE = new ContentDigest(0, 0);
 
-    /** Of a body. */
+    /** Returns the digest of a body. */
     public static ContentDigest of(byte[] body) {
         try {
-            byte[] whole = MessageDigest.getInstance("SHA-256").digest(body);
-            return new ContentDigest(number(whole, 0), number(whole, Long.BYTES));
+            byte[] sha256 = MessageDigest.getInstance("SHA-256").digest(body);
+            return new ContentDigest(number(sha256, 0), number(sha256, Long.BYTES));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // each Java platform has it
+            throw new IllegalStateException(e); // required of every Java platform
         }
     }
 
--- a/src/main/java/gorsemast/configuration/Route.java
+++ b/src/main/java/gorsemast/configuration/Route.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /**
- * One route: what its requests may do, where they go, and what they are worth.
+ * A route: which requests it matches, how they are handled, and where they go.
  *
  * @param host in lower case, without a port
  * @param prefix begins and ends with a slash
- * @param timeoutMicros how long the operator wants a request held at most
- * @param targetLatencyMicros within which an answer earns its full worth
+ * @param timeoutMicros the operator's limit for a request
+ * @param targetLatencyMicros the latency up to which a response has its full value
  * @param priority 0 is highest
  * @param services where its requests go, by weight; at least one weight is above 0
- * @param maxAttempts to so many servers one try may be sent
- * @param ttlMicros how long an answer may be held; 0 for not at all
+ * @param maxAttempts to how many servers one try may be sent
+ * @param ttlMicros how long a response may be cached; 0 for not at all
  */
 public record Route(
         String name,
@@ -25,7 +25,7 @@
         List<WeightedService> services,
         int maxAttempts,
         long ttlMicros) {
-    /** What a repetition of a request does. */
+    /** The effect of repeating a request. */
     public enum Kind {
         CACHEABLE,
         IDEMPOTENT,
@@ -35,24 +35,24 @@
     /** A service and its weight. */
     public record WeightedService(String service, double weight) {}
 
-    /** Whether a request may run more than once. */
+    /** Returns whether a request may run more than once. */
     public boolean isRepeatable() {
         return kind != Kind.NON_IDEMPOTENT;
     }
 
-    /** The service for a request, by a number in [0, 1). */
-    public String selectService(double drawn) {
-        double sum = 0;
-        for (WeightedService one : services) {
-            sum += one.weight();
+    /** Selects the service for a request by a random number in [0, 1). */
+    public String selectService(double random) {
+        double total = 0;
+        for (WeightedService candidate : services) {
+            total += candidate.weight();
         }
-        double at = drawn * sum;
+        double remaining = random * total;
         String last = null;
-        for (WeightedService one : services) {
-            if (one.weight() > 0) {
-                last = one.service();
-                at -= one.weight();
-                if (at < 0) {
+        for (WeightedService candidate : services) {
+            if (candidate.weight() > 0) {
+                last = candidate.service();
+                remaining -= candidate.weight();
+                if (remaining < 0) {
                     return last;
                 }
             }
--- a/src/main/java/gorsemast/configuration/package-info.java
+++ b/src/main/java/gorsemast/configuration/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operator's configuration: read whole, checked, and held as an immutable snapshot; which route a request has.
- * No I/O, no clock, no threads.
+ * The operator's configuration as an immutable, validated snapshot, with the routing of requests. No I/O, no clock, no
+ * threads.
  */
 package gorsemast.configuration;
--- a/src/main/java/gorsemast/election/LeaseElection.java
+++ b/src/main/java/gorsemast/election/LeaseElection.java
@@ -9,130 +9,130 @@
 import java.util.function.Predicate;
 
 /**
- * Something that one of several processes does, as one of them sees it. It is won by a round of ballots whenever it has
- * fallen vacant.
+ * A lease-based election of the one process that carries out a duty, as one of several processes sees it.
  *
- * <p><b>Idea.</b> Who has not heard of a holder for {@link #VACANT_MICROS} asks all others for the next term; each grants a
- * term once, and none while it has heard of a holder; more than half of the agreed membership win it. The holder tells all that it holds it, and
- * acts only while more than half have confirmed what it told within {@link #LEASE_MICROS}, counted from when it told them:
- * that is over before any of them grants another term, whatever the clocks show, as long as they run at about one speed
- * (leases, Gray and Cheriton 1989). Who has just started has forgotten what it granted, and grants nothing until that can't
- * matter any more. So never two act at once, and a vacancy lasts some seconds at most while more than half are reached.
+ * <p>A process that has not heard of a holder for {@link #VACANCY_TIMEOUT_MICROS} requests the next term from all
+ * others. Each grants a term once, and none while it has heard of a holder; a majority of the agreed membership wins
+ * the term. The holder sends renewals to all, and acts only while a majority has confirmed a renewal that was sent
+ * within the last {@link #LEASE_MICROS}. That lease ends before any of them grants another term, whatever the clocks
+ * show, as long as they run at about the same speed (leases, Gray and Cheriton 1989). A process that has just started
+ * has forgotten what it granted, and grants nothing until that can't matter any more. So two never act at the same
+ * time, and a vacancy lasts some seconds at most while a majority is reachable.
  *
- * <p>Nothing is kept on disk. Times in microseconds of a clock that never goes back; one thread. O(n) a tick.
+ * <p>Nothing is kept on disk. Not thread-safe; times are in microseconds of a monotonic clock. A tick takes O(n).
  */
 public final class LeaseElection {
-    static final long TELL_MICROS = 300_000;
+    static final long RENEW_INTERVAL_MICROS = 300_000;
     static final long LEASE_MICROS = 1_000_000;
-    static final long VACANT_MICROS = 1_500_000;
+    static final long VACANCY_TIMEOUT_MICROS = 1_500_000;
     static final long ROUND_MICROS = 400_000;
-    private static final long STAND_BACK_MICROS = 1_200_000;
+    private static final long MAX_BACKOFF_MICROS = 1_200_000;
 
-    /** What is said of a duty. */
+    /** The type of a message about a duty, sent by its ordinal. */
     public enum MessageType {
-        /** May I have this term? */
+        /** Requests the vote for a term. */
         REQUEST_TERM,
-        /** You may; also: I know that you hold it. */
+        /** Grants a requested term, or confirms a renewal. */
         GRANT,
-        /** I hold this term; {@code at} comes back with the answer. */
+        /** Claims or renews the term; {@code at} comes back with the confirmation. */
         RENEW,
-        /** You may not; terms have come as far as this. */
+        /** Rejects a request; carries the highest term known. */
         REJECT;
 
         private static final MessageType[] ALL = values();
 
-        /** The word of this number; null for none. */
-        public static MessageType of(int number) {
-            return number < ALL.length ? ALL[number] : null;
+        /** Returns the type with this ordinal; null for none. */
+        public static MessageType of(int ordinal) {
+            return ordinal < ALL.length ? ALL[ordinal] : null;
         }
     }
 
-    /** Says it to another process. */
+    /** Sends messages to other processes. */
     public interface Output {
-        /** @param at the sender's time, which an answer brings back */
-        void send(String to, MessageType word, long term, long at);
+        /** @param at the sender's time, which the answer brings back */
+        void send(String to, MessageType type, long term, long at);
     }
 
     private final String self;
     private final SplittableRandom random;
-    private final Output out;
+    private final Output output;
     private final Predicate<Collection<String>> majority;
     private final Set<String> votes = new HashSet<>();
-    private final Map<String, Long> confirmed = new HashMap<>();
-    private long begunAt = Long.MIN_VALUE;
+    private final Map<String, Long> confirmations = new HashMap<>();
+    private long startedAt = Long.MIN_VALUE;
     private long term;
     private String holder;
-    private long heardAt;
-    private long standBackUntil;
-    private long roundUntil;
-    private long toldAt;
-    private long asked;
+    private long holderSeenAt;
+    private long backOffUntil;
+    private long roundDeadline;
+    private long lastRenewalAt;
+    private long requestedTerm;
 
     /**
-     * Of the process with this name.
+     * Creates the election as seen by the process with this name.
      *
-     * @param majority whether these are more than half of those that have a vote, as it is agreed now; this process
-     *     among them only where it has one
+     * @param majority whether these processes are a majority of the current voters; this process counts only if it has
+     *     a vote
      */
-    public LeaseElection(String self, long seed, Predicate<Collection<String>> majority, Output out) {
+    public LeaseElection(String self, long seed, Predicate<Collection<String>> majority, Output output) {
         this.self = self;
         this.majority = majority;
         this.random = new SplittableRandom(seed);
-        this.out = out;
+        this.output = output;
     }
 
-    /** Whether this process is to act now. */
+    /** Returns whether this process may act now. */
     public boolean isActive(long now) {
         if (!self.equals(holder)) {
             return false;
         }
-        Set<String> fresh = new HashSet<>(Set.of(self));
-        confirmed.forEach((ip, at) -> {
+        Set<String> confirming = new HashSet<>(Set.of(self));
+        confirmations.forEach((ip, at) -> {
             if (now - at < LEASE_MICROS) {
-                fresh.add(ip);
+                confirming.add(ip);
             }
         });
-        return majority.test(fresh);
+        return majority.test(confirming);
     }
 
-    /** Who holds it, as far as is known; null for nobody. */
+    /** Returns the holder as far as known; null for none. */
     public String holder() {
         return holder;
     }
 
-    /** To be called a few times a second, with those that are reached. */
+    /** Runs the periodic work; call it a few times a second, with the processes that are reachable. */
     public void tick(long now, Collection<String> others) {
-        if (begunAt == Long.MIN_VALUE) {
-            begunAt = now;
-            heardAt = now; // somebody may hold it; it would be heard of by then
-            standBack(now);
+        if (startedAt == Long.MIN_VALUE) {
+            startedAt = now;
+            holderSeenAt = now; // there may be a holder, which will be heard by then
+            backOff(now);
         }
         if (self.equals(holder)) {
-            if (!isActive(now) && now - heardAt > LEASE_MICROS) {
-                holder = null; // it could not be confirmed, and others may have it by now
-                heardAt = now;
-                standBack(now);
+            if (!isActive(now) && now - holderSeenAt > LEASE_MICROS) {
+                holder = null; // it was not confirmed, and another process may hold it by now
+                holderSeenAt = now;
+                backOff(now);
                 return;
             }
-            if (now - toldAt >= TELL_MICROS) {
-                toldAt = now;
-                others.forEach(other -> out.send(other, MessageType.RENEW, term, now));
+            if (now - lastRenewalAt >= RENEW_INTERVAL_MICROS) {
+                lastRenewalAt = now;
+                others.forEach(other -> output.send(other, MessageType.RENEW, term, now));
             }
             return;
         }
-        if (now - heardAt > VACANT_MICROS
-                && now >= standBackUntil
-                && now >= roundUntil
+        if (now - holderSeenAt > VACANCY_TIMEOUT_MICROS
+                && now >= backOffUntil
+                && now >= roundDeadline
                 && majority.test(withSelf(others))) {
             holder = null;
             term++;
-            asked = term;
+            requestedTerm = term;
             votes.clear();
             votes.add(self);
-            roundUntil = now + ROUND_MICROS;
-            standBackUntil = roundUntil + random.nextLong(STAND_BACK_MICROS);
-            others.forEach(other -> out.send(other, MessageType.REQUEST_TERM, term, now));
-            win(now);
+            roundDeadline = now + ROUND_MICROS;
+            backOffUntil = roundDeadline + random.nextLong(MAX_BACKOFF_MICROS);
+            others.forEach(other -> output.send(other, MessageType.REQUEST_TERM, term, now));
+            tryWin(now);
         }
     }
 
@@ -142,52 +142,55 @@
         return all;
     }
 
-    private void standBack(long now) {
-        standBackUntil = now + random.nextLong(STAND_BACK_MICROS);
+    private void backOff(long now) {
+        backOffUntil = now + random.nextLong(MAX_BACKOFF_MICROS);
     }
 
-    private void win(long now) {
-        if (asked == term && now < roundUntil && majority.test(votes)) {
+    private void tryWin(long now) {
+        if (requestedTerm == term && now < roundDeadline && majority.test(votes)) {
             holder = self;
-            asked = 0;
-            heardAt = now;
-            toldAt = now - TELL_MICROS;
-            confirmed.clear();
+            requestedTerm = 0;
+            holderSeenAt = now;
+            lastRenewalAt = now - RENEW_INTERVAL_MICROS;
+            confirmations.clear();
         }
     }
 
-    /** Another process has said something. */
-    public void receive(long now, String from, MessageType word, long itsTerm, long at) {
-        switch (word) {
+    /** Handles a message from another process. */
+    public void receive(long now, String from, MessageType type, long messageTerm, long at) {
+        switch (type) {
             case REQUEST_TERM -> {
-                boolean knows = begunAt != Long.MIN_VALUE && now - begunAt > VACANT_MICROS;
-                if (knows && itsTerm > term && now - heardAt > VACANT_MICROS && !self.equals(holder)) {
-                    term = itsTerm; // and so never again to anybody
-                    asked = 0;
-                    heardAt = now; // its word counts as a confirmation, and must hold as long as one
-                    standBack(now);
-                    out.send(from, MessageType.GRANT, itsTerm, at);
-                } else if (itsTerm <= term) {
-                    out.send(from, MessageType.REJECT, term, at);
+                boolean remembersGrants = startedAt != Long.MIN_VALUE && now - startedAt > VACANCY_TIMEOUT_MICROS;
+                if (remembersGrants
+                        && messageTerm > term
+                        && now - holderSeenAt > VACANCY_TIMEOUT_MICROS
+                        && !self.equals(holder)) {
+                    term = messageTerm; // so this term is granted to nobody else
+                    requestedTerm = 0;
+                    holderSeenAt = now; // the grant counts as a confirmation and must last as long as one
+                    backOff(now);
+                    output.send(from, MessageType.GRANT, messageTerm, at);
+                } else if (messageTerm <= term) {
+                    output.send(from, MessageType.REJECT, term, at);
                 }
             }
-            case REJECT -> term = self.equals(holder) ? term : Math.max(term, itsTerm);
+            case REJECT -> term = self.equals(holder) ? term : Math.max(term, messageTerm);
             case GRANT -> {
-                if (self.equals(holder) && itsTerm == term) {
-                    confirmed.merge(from, at, Math::max);
-                    heardAt = isActive(now) ? now : heardAt;
-                } else if (itsTerm == asked) {
+                if (self.equals(holder) && messageTerm == term) {
+                    confirmations.merge(from, at, Math::max);
+                    holderSeenAt = isActive(now) ? now : holderSeenAt;
+                } else if (messageTerm == requestedTerm) {
                     votes.add(from);
-                    win(now);
+                    tryWin(now);
                 }
             }
             case RENEW -> {
-                if (itsTerm > term || itsTerm == term && !self.equals(holder)) {
-                    term = itsTerm;
+                if (messageTerm > term || messageTerm == term && !self.equals(holder)) {
+                    term = messageTerm;
                     holder = from;
-                    asked = 0;
-                    heardAt = now;
-                    out.send(from, MessageType.GRANT, itsTerm, at);
+                    requestedTerm = 0;
+                    holderSeenAt = now;
+                    output.send(from, MessageType.GRANT, messageTerm, at);
                 }
             }
         }
--- a/src/main/java/gorsemast/election/package-info.java
+++ b/src/main/java/gorsemast/election/package-info.java
@@ -1,2 +1,2 @@
-/** Elections of the one process that carries out a duty for all; decisions without I/O. */
+/** Lease-based election of the process that carries out a duty for all; logic without I/O. */
 package gorsemast.election;
--- a/src/main/java/gorsemast/storage/AlternatingFile.java
+++ b/src/main/java/gorsemast/storage/AlternatingFile.java
@@ -6,73 +6,78 @@
 import java.util.zip.CRC32C;
 
 /**
- * One record in two files that are written in turn, each over its own last content: while one is written the other holds
- * the whole record before. Files are made once and never renamed, removed or cut, so a write needs one sync and no name.
+ * A record in two files that are written in turn, each over its own last content: while one is written, the other holds
+ * the complete previous record. The files are created once and never renamed, removed or truncated, so a write needs
+ * one sync of content and none of the directory.
  *
- * <p>A file is a mark, the number of the life that wrote it, a sequence number, a length, a CRC-32C over these and the
- * content, and the content; what follows is left over from longer ones. A file that does not fit its check counts as empty.
- * Sequence numbers of writes that were cut are given again, in another life: so pieces of two such writes never make one
- * whole. One thread, which waits for the disk.
+ * <p>A file consists of a magic number, the incarnation of its writer, a sequence number, a length, a CRC-32C over
+ * these and the content, and the content; anything behind that is left over from longer records. A file with a wrong
+ * checksum counts as empty. Sequence numbers of interrupted writes are reused by a later incarnation, whose different
+ * number keeps parts of two such writes from ever passing as one valid record. Not thread-safe; calls block on the
+ * disk.
  */
 final class AlternatingFile {
-    private static final int MARK = 0x47_53_52_31;
-    private static final int HEAD_BYTES = Integer.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
+    private static final int MAGIC = 0x47_53_52_31;
+    private static final int HEADER_BYTES = Integer.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
 
-    private record Whole(long sequence, byte[] content) {}
+    private record StoredRecord(long sequence, byte[] content) {}
 
-    private final Directory folder;
+    private final Directory directory;
     private final List<String> names;
-    private final long life;
-    /** Of the newest whole record; 0 for none. */
-    private long newest;
+    private final long incarnation;
+    /** The sequence number of the newest valid record; 0 for none. */
+    private long newestSequence;
 
-    private int newestAt = 1;
+    private int newestIndex = 1;
 
     /**
-     * Opens the two files of this name and makes those that lack; the folder's names are the caller's to sync.
+     * Opens the two files of this name and creates missing ones; the caller has to sync the directory.
      *
-     * @param life a number that no other opening was given
+     * @param incarnation a number that no other opening was given
      */
-    AlternatingFile(Directory folder, String name, long life) throws IOException {
-        this.folder = folder;
-        this.life = life;
+    AlternatingFile(Directory directory, String name, long incarnation) throws IOException {
+        this.directory = directory;
+        this.incarnation = incarnation;
         this.names = List.of(name + ".0", name + ".1");
-        for (int at = 0; at < names.size(); at++) {
-            byte[] bytes = folder.read(names.get(at));
+        for (int index = 0; index < names.size(); index++) {
+            byte[] bytes = directory.read(names.get(index));
             if (bytes == null) {
-                folder.write(names.get(at), ByteBuffer.allocate(0));
+                directory.write(names.get(index), ByteBuffer.allocate(0));
             } else {
-                // An earlier life may have been killed before it could: what is built on it must not go with power.
-                folder.sync(names.get(at));
+                // An earlier process may have been killed before its sync: what relies on this record must survive a
+                // power loss.
+                directory.sync(names.get(index));
             }
-            Whole whole = bytes == null ? null : whole(ByteBuffer.wrap(bytes));
-            if (whole != null && whole.sequence > newest) {
-                newest = whole.sequence;
-                newestAt = at;
+            StoredRecord stored = bytes == null ? null : parse(ByteBuffer.wrap(bytes));
+            if (stored != null && stored.sequence > newestSequence) {
+                newestSequence = stored.sequence;
+                newestIndex = index;
             }
         }
     }
 
-    private static Whole whole(ByteBuffer bytes) {
-        if (bytes.remaining() < HEAD_BYTES || bytes.getInt() != MARK) {
+    private static StoredRecord parse(ByteBuffer bytes) {
+        if (bytes.remaining() < HEADER_BYTES || bytes.getInt() != MAGIC) {
             return null;
         }
-        long life = bytes.getLong();
+        long incarnation = bytes.getLong();
         long sequence = bytes.getLong();
         int length = bytes.getInt();
-        int check = bytes.getInt();
+        int expectedChecksum = bytes.getInt();
         if (length < 0 || length > bytes.remaining()) {
             return null;
         }
         byte[] content = new byte[length];
         bytes.get(content);
-        return check(life, sequence, content) == check ? new Whole(sequence, content) : null;
+        return checksum(incarnation, sequence, content) == expectedChecksum
+                ? new StoredRecord(sequence, content)
+                : null;
     }
 
-    private static int check(long life, long sequence, byte[] content) {
+    private static int checksum(long incarnation, long sequence, byte[] content) {
         CRC32C crc = new CRC32C();
-        crc.update(ByteBuffer.allocate(HEAD_BYTES)
-                .putLong(life)
+        crc.update(ByteBuffer.allocate(HEADER_BYTES)
+                .putLong(incarnation)
                 .putLong(sequence)
                 .putInt(content.length)
                 .flip());
@@ -80,29 +85,32 @@
         return (int) crc.getValue();
     }
 
-    /** The number of the newest whole record that was found or written; 0 for none. */
-    long newest() {
-        return newest;
+    /** Returns the sequence number of the newest valid record that was found or written; 0 for none. */
+    long newestSequence() {
+        return newestSequence;
     }
 
-    /** What that record holds, from its file. */
-    byte[] content() throws IOException {
-        byte[] bytes = folder.read(names.get(newestAt));
-        Whole whole = bytes == null ? null : whole(ByteBuffer.wrap(bytes));
-        if (whole == null || whole.sequence != newest) {
-            throw new IOException(names.get(newestAt) + " is not what it was");
+    /** Reads the content of the newest record from its file. */
+    byte[] readNewest() throws IOException {
+        byte[] bytes = directory.read(names.get(newestIndex));
+        StoredRecord stored = bytes == null ? null : parse(ByteBuffer.wrap(bytes));
+        if (stored == null || stored.sequence != newestSequence) {
+            throw new IOException(names.get(newestIndex) + " changed since it was written");
         }
-        return whole.content;
+        return stored.content;
     }
 
-    /** Replaces the record, under a number above all before, and returns once that is safe; where it throws, the one before stands. */
+    /**
+     * Replaces the record under a number above all earlier ones, and returns once it is durable; if it throws, the
+     * previous record stays valid.
+     */
     void write(long sequence, byte[] content) throws IOException {
-        ByteBuffer bytes = ByteBuffer.allocate(HEAD_BYTES + content.length);
-        bytes.putInt(MARK).putLong(life).putLong(sequence).putInt(content.length);
-        bytes.putInt(check(life, sequence, content)).put(content).flip();
-        int at = 1 - newestAt;
-        folder.write(names.get(at), bytes);
-        newestAt = at;
-        newest = sequence;
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES + content.length);
+        bytes.putInt(MAGIC).putLong(incarnation).putLong(sequence).putInt(content.length);
+        bytes.putInt(checksum(incarnation, sequence, content)).put(content).flip();
+        int index = 1 - newestIndex;
+        directory.write(names.get(index), bytes);
+        newestIndex = index;
+        newestSequence = sequence;
     }
 }
--- a/src/main/java/gorsemast/storage/Directory.java
+++ b/src/main/java/gorsemast/storage/Directory.java
@@ -4,21 +4,21 @@
 import java.nio.ByteBuffer;
 
 /**
- * The files of one folder, by name, as a {@link Disk} needs them. Each call waits for the disk; one thread.
+ * The files of one directory, by name, as {@link Disk} needs them. Calls block on the disk; not thread-safe.
  *
- * <p>A write and the name of a file are made safe apart from each other: after a loss of power a file whose name was not
- * synced may be gone, however often its content was.
+ * <p>The content of a file and its directory entry are synced separately: after a power loss a file whose directory
+ * entry was not synced may be gone, however often its content was.
  */
 interface Directory {
-    /** All of a file; null where there is none. */
+    /** Returns the whole content of a file; null where it doesn't exist. */
     byte[] read(String name) throws IOException;
 
-    /** Writes these bytes over the beginning of a file, which is made where it lacks, and syncs its content. */
+    /** Writes these bytes over the beginning of a file, created if missing, and syncs its content. */
     void write(String name, ByteBuffer bytes) throws IOException;
 
-    /** Syncs the content of a file that is there, whoever has written it. */
+    /** Syncs the content of an existing file, whichever process wrote it. */
     void sync(String name) throws IOException;
 
-    /** Syncs the names of all files. */
+    /** Syncs the directory entries of all files. */
     void syncDirectory() throws IOException;
 }
--- a/src/main/java/gorsemast/storage/Disk.java
+++ b/src/main/java/gorsemast/storage/Disk.java
@@ -7,81 +7,84 @@
 import java.nio.file.Path;
 
 /**
- * What a store has on its disk: a state, which is small, and a configuration, which is large.
+ * The records that a store has on its disk: a small state and a large configuration.
  *
- * <p><b>Idea.</b> A snapshot of both, in two {@link AlternatingFile}, and the state by itself in two more, all under one sequence of
- * numbers. A save of both writes a snapshot; a save of the state alone writes only that. What holds is the newest whole
- * snapshot, with the newest whole state where that is later. So a save is there wholly or not at all, wherever power cuts
- * it, and the space is that of two configurations however many were saved.
+ * <p>A snapshot of both is kept in one {@link AlternatingFile} and the state alone in another, with a common sequence
+ * of numbers. A save of both writes a snapshot; a save of the state alone writes only the state. The newest valid
+ * snapshot counts, with the newest valid state where that is later. So a save is there completely or not at all,
+ * wherever a power loss interrupts it, and the space is that of two configurations however many were saved.
  *
- * <p>One thread, which waits for the disk.
+ * <p>Not thread-safe; calls block on the disk.
  */
 public final class Disk {
     private static final String SNAPSHOT = "snapshot";
     private static final String STATE = "state";
     private static final Log LOG = new Log("storage");
 
-    /** Both records. */
+    /** The state and the configuration as saved. */
     public record Saved(byte[] state, byte[] configuration) {}
 
     private final AlternatingFile snapshot;
     private final AlternatingFile state;
     private long sequence;
 
-    /** In this folder; what is there and not whole counts as nothing. */
-    Disk(Directory folder, long life) throws IOException {
-        snapshot = new AlternatingFile(folder, SNAPSHOT, life);
-        state = new AlternatingFile(folder, STATE, life);
-        folder.syncDirectory();
-        sequence = Math.max(snapshot.newest(), state.newest());
+    /** Opens the files in this directory; invalid files count as empty. */
+    Disk(Directory directory, long incarnation) throws IOException {
+        snapshot = new AlternatingFile(directory, SNAPSHOT, incarnation);
+        state = new AlternatingFile(directory, STATE, incarnation);
+        directory.syncDirectory();
+        sequence = Math.max(snapshot.newestSequence(), state.newestSequence());
     }
 
     /**
-     * Opens what is in a folder, which must exist, or takes over what {@link XodusImport} has there.
+     * Opens the files in a directory, which must exist, or imports what an earlier release left there ({@link
+     * XodusImport}).
      *
-     * @param life a number that no other opening was given
+     * @param incarnation a number that no other opening was given
      */
-    public static Disk open(Path home, long life) {
+    public static Disk open(Path directory, long incarnation) {
         try {
-            Disk disk = new Disk(new FileSystemDirectory(home), life);
+            Disk disk = new Disk(new FileSystemDirectory(directory), incarnation);
             if (disk.load() == null) {
-                Saved former = XodusImport.read(home);
-                if (former != null) {
-                    LOG.info("takes over the records of an earlier release");
-                    disk.save(former.state, former.configuration);
+                Saved imported = XodusImport.read(directory);
+                if (imported != null) {
+                    LOG.info("imports the records of an earlier release");
+                    disk.save(imported.state, imported.configuration);
                 }
             }
-            XodusImport.remove(home);
+            XodusImport.remove(directory);
             return disk;
         } catch (IOException e) {
             throw new DiskException(Code.OPEN, e);
         }
     }
 
-    /** What was saved last; null where nothing whole is there. */
+    /** Returns what was saved last; null where there is no valid record. */
     public Saved load() {
-        if (snapshot.newest() == 0) {
+        if (snapshot.newestSequence() == 0) {
             return null;
         }
         try {
-            ByteBuffer both = ByteBuffer.wrap(snapshot.content());
-            byte[] first = new byte[both.getInt()];
-            both.get(first);
+            ByteBuffer both = ByteBuffer.wrap(snapshot.readNewest());
+            byte[] snapshotState = new byte[both.getInt()];
+            both.get(snapshotState);
             byte[] configuration = new byte[both.remaining()];
             both.get(configuration);
-            return new Saved(state.newest() > snapshot.newest() ? state.content() : first, configuration);
+            return new Saved(
+                    state.newestSequence() > snapshot.newestSequence() ? state.readNewest() : snapshotState,
+                    configuration);
         } catch (IOException e) {
             throw new DiskException(Code.READ, e);
         }
     }
 
     /**
-     * Replaces the state, and the configuration unless that is null, and returns when they are safe. Throws
-     * {@link DiskException} where the disk refuses; then the save may be there or not, and has to be made again.
+     * Replaces the state, and the configuration unless that is null, and returns once both are durable. Throws {@link
+     * DiskException} if the disk fails; then the save may be there or not, and has to be repeated.
      */
     public void save(byte[] newState, byte[] configuration) {
-        if (configuration == null && snapshot.newest() == 0) {
-            throw new IllegalArgumentException("no configuration yet");
+        if (configuration == null && snapshot.newestSequence() == 0) {
+            throw new IllegalArgumentException("the first save needs a configuration");
         }
         try {
             sequence++;
--- a/src/main/java/gorsemast/storage/DiskException.java
+++ b/src/main/java/gorsemast/storage/DiskException.java
@@ -4,7 +4,7 @@
 public final class DiskException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** What failed. */
+    /** The operation that failed. */
     public enum Code {
         OPEN,
         READ,
@@ -18,7 +18,7 @@
         this.code = code;
     }
 
-    /** What failed. */
+    /** Returns the operation that failed. */
     public Code code() {
         return code;
     }
--- a/src/main/java/gorsemast/storage/FileSystemDirectory.java
+++ b/src/main/java/gorsemast/storage/FileSystemDirectory.java
@@ -7,25 +7,25 @@
 import java.nio.file.Path;
 import java.nio.file.StandardOpenOption;
 
-/** A folder of the file system. One thread, which waits for the disk. */
+/** A directory of the file system. Not thread-safe; calls block on the disk. */
 final class FileSystemDirectory implements Directory {
-    private final Path home;
+    private final Path path;
 
-    /** In this folder, which must exist. */
-    FileSystemDirectory(Path home) {
-        this.home = home;
+    /** Uses this directory, which must exist. */
+    FileSystemDirectory(Path path) {
+        this.path = path;
     }
 
     @Override
     public byte[] read(String name) throws IOException {
-        Path file = home.resolve(name);
+        Path file = path.resolve(name);
         return Files.exists(file) ? Files.readAllBytes(file) : null;
     }
 
     @Override
     public void write(String name, ByteBuffer bytes) throws IOException {
         try (FileChannel channel =
-                FileChannel.open(home.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+                FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
             while (bytes.hasRemaining()) {
                 channel.write(bytes);
             }
@@ -35,14 +35,14 @@
 
     @Override
     public void sync(String name) throws IOException {
-        try (FileChannel channel = FileChannel.open(home.resolve(name), StandardOpenOption.WRITE)) {
+        try (FileChannel channel = FileChannel.open(path.resolve(name), StandardOpenOption.WRITE)) {
             channel.force(true);
         }
     }
 
     @Override
     public void syncDirectory() throws IOException {
-        try (FileChannel channel = FileChannel.open(home, StandardOpenOption.READ)) {
+        try (FileChannel channel = FileChannel.open(path, StandardOpenOption.READ)) {
             channel.force(true);
         }
     }
--- a/src/main/java/gorsemast/storage/Journal.java
+++ b/src/main/java/gorsemast/storage/Journal.java
@@ -10,18 +10,18 @@
 import java.util.zip.CRC32C;
 
 /**
- * Records appended to one file, each behind its length and a checksum; several are synced at once.
+ * A file of appended records, each behind its length and a checksum; several are synced at once.
  *
- * <p><b>Recovery.</b> Reading stops at the first record that is not whole, and what follows is written over: after a
- * loss of power writes that were not synced may be there, missing or torn. A write that the disk refuses leaves the end
- * where it was, so that the next one is written over its remains.
+ * <p>Reading stops at the first record that is not complete, and the next append overwrites what follows: after a power
+ * loss, writes that were not synced may be present, missing or torn. A write that the disk refuses leaves the end where
+ * it was, so that the next one overwrites its remains.
  *
- * <p>One thread, which waits for the disk.
+ * <p>Not thread-safe; calls block on the disk.
  */
 public final class Journal implements AutoCloseable {
-    private static final int FRAME_BYTES = 8;
-    /** A longer record is none. */
-    private static final int MOST = 16 << 20;
+    private static final int FRAME_HEADER_BYTES = 8;
+    /** A longer length can only come from a damaged file. */
+    private static final int MAX_RECORD_BYTES = 16 << 20;
 
     private final FileChannel file;
     private long end;
@@ -30,18 +30,18 @@
         this.file = file;
     }
 
-    /** Opens the journal of a folder, which must exist, or makes an empty one that outlives a loss of power. */
-    public static Journal open(Path folder) {
+    /** Opens the journal of a directory, which must exist, or creates an empty one that survives a power loss. */
+    public static Journal open(Path directory) {
         try {
             FileChannel file = FileChannel.open(
-                    folder.resolve("journal"),
+                    directory.resolve("journal"),
                     StandardOpenOption.CREATE,
                     StandardOpenOption.READ,
                     StandardOpenOption.WRITE);
             if (file.size() == 0) {
                 file.force(true);
-                try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-                    names.force(true);
+                try (FileChannel channel = FileChannel.open(directory, StandardOpenOption.READ)) {
+                    channel.force(true);
                 }
             }
             return new Journal(file);
@@ -50,26 +50,26 @@
         }
     }
 
-    /** All whole records from the beginning; what is appended next follows the last of them. */
+    /** Returns all complete records from the beginning; the next append follows the last of them. */
     public List<byte[]> read() {
         try {
-            ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - FRAME_BYTES));
-            int got = 0;
-            while (bytes.hasRemaining() && got >= 0) {
-                got = file.read(bytes, bytes.position());
+            ByteBuffer bytes = ByteBuffer.allocate((int) Math.min(file.size(), Integer.MAX_VALUE - FRAME_HEADER_BYTES));
+            int bytesRead = 0;
+            while (bytes.hasRemaining() && bytesRead >= 0) {
+                bytesRead = file.read(bytes, bytes.position());
             }
             bytes.flip();
             List<byte[]> records = new ArrayList<>();
             end = 0;
-            while (bytes.remaining() >= FRAME_BYTES) {
+            while (bytes.remaining() >= FRAME_HEADER_BYTES) {
                 int length = bytes.getInt();
-                int check = bytes.getInt();
-                if (length <= 0 || length > Math.min(MOST, bytes.remaining())) {
+                int expectedChecksum = bytes.getInt();
+                if (length <= 0 || length > Math.min(MAX_RECORD_BYTES, bytes.remaining())) {
                     break;
                 }
                 byte[] record = new byte[length];
                 bytes.get(record);
-                if (check(record) != check) {
+                if (checksum(record) != expectedChecksum) {
                     break;
                 }
                 records.add(record);
@@ -81,29 +81,30 @@
         }
     }
 
-    /** Appends these in order and returns when all are safe; throws where the disk refuses, and then none counts. */
+    /** Appends records in order and returns once all are durable; if it throws, none of them counts. */
     public void append(List<byte[]> records) {
-        int length =
-                records.stream().mapToInt(record -> FRAME_BYTES + record.length).sum();
+        int length = records.stream()
+                .mapToInt(record -> FRAME_HEADER_BYTES + record.length)
+                .sum();
         ByteBuffer bytes = ByteBuffer.allocate(length);
         records.forEach(
-                record -> bytes.putInt(record.length).putInt(check(record)).put(record));
+                record -> bytes.putInt(record.length).putInt(checksum(record)).put(record));
         bytes.flip();
         try {
-            long at = end;
+            long position = end;
             while (bytes.hasRemaining()) {
-                at += file.write(bytes, at);
+                position += file.write(bytes, position);
             }
             file.force(false);
-            end = at;
+            end = position;
         } catch (IOException e) {
             throw new DiskException(DiskException.Code.WRITE, e);
         }
     }
 
     /**
-     * Forgets all records, which have to be safe elsewhere. Not synced by itself: where power is lost before the next
-     * append they may be read once more.
+     * Removes all records, which must be durable elsewhere. Not synced: after a power loss before the next append they
+     * may be read once more.
      */
     public void clear() {
         if (end == 0) {
@@ -117,12 +118,12 @@
         }
     }
 
-    /** Bytes of the records that it holds. */
+    /** Returns the size in bytes of the records in the journal. */
     public long size() {
         return end;
     }
 
-    private static int check(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
--- a/src/main/java/gorsemast/storage/XodusImport.java
+++ b/src/main/java/gorsemast/storage/XodusImport.java
@@ -18,17 +18,17 @@
 import jetbrains.exodus.env.StoreConfig;
 
 /**
- * The records of releases that kept them in a log of Xodus, in folders of their own: read once, then removed. One thread,
- * which waits for the disk.
+ * Imports the records of earlier releases, which kept them in a Xodus log in directories of its own: read once, then
+ * removed. Calls block on the disk.
  */
 final class XodusImport {
     static final String STORE = "records";
     static final String STATE = "state";
     static final String CONFIGURATION = "configuration";
-    /** Where the log stood, and where it was put while a shorter one took its place. */
-    static final List<String> FOLDERS = List.of("xodus", "old");
+    /** The directory of the log, and the one it was moved to while a shorter log replaced it. */
+    static final List<String> SOURCE_FOLDERS = List.of("xodus", "old");
 
-    private static final List<String> LEFT = List.of("xodus", "old", "next", "broken", "former");
+    private static final List<String> ALL_FOLDERS = List.of("xodus", "old", "next", "broken", "former");
     private static final int FILE_KB = 1_024;
     private static final int CACHE_BYTES = 2 << 20;
     private static final int PAGE_BYTES = 16 << 10;
@@ -36,24 +36,24 @@
 
     private XodusImport() {}
 
-    /** Both records, from the first folder where both are whole; null where there is none. */
-    static Disk.Saved read(Path home) {
-        for (String name : FOLDERS) {
-            if (Files.isDirectory(home.resolve(name))) {
+    /** Returns both records from the first directory where both are valid; null where there is none. */
+    static Disk.Saved read(Path directory) {
+        for (String name : SOURCE_FOLDERS) {
+            if (Files.isDirectory(directory.resolve(name))) {
                 try {
-                    Map<String, byte[]> all = records(home.resolve(name));
-                    if (all.containsKey(STATE) && all.containsKey(CONFIGURATION)) {
-                        return new Disk.Saved(all.get(STATE), all.get(CONFIGURATION));
+                    Map<String, byte[]> recordsByName = readRecords(directory.resolve(name));
+                    if (recordsByName.containsKey(STATE) && recordsByName.containsKey(CONFIGURATION)) {
+                        return new Disk.Saved(recordsByName.get(STATE), recordsByName.get(CONFIGURATION));
                     }
                 } catch (RuntimeException e) {
-                    LOG.warn("can't read " + name + ", which counts as lost: " + e);
+                    LOG.warn("can't read " + name + ", treating it as lost: " + e);
                 }
             }
         }
         return null;
     }
 
-    private static Map<String, byte[]> records(Path folder) {
+    private static Map<String, byte[]> readRecords(Path folder) {
         EnvironmentConfig config = new EnvironmentConfig()
                 .setLogFileSize(FILE_KB)
                 .setLogCachePageSize(PAGE_BYTES)
@@ -64,47 +64,47 @@
                 .setManagementEnabled(false)
                 .setEnvMonitorTxnsTimeout(0)
                 .setLogLockTimeout(0);
-        Map<String, byte[]> all = new HashMap<>();
+        Map<String, byte[]> recordsByName = new HashMap<>();
         try (Environment environment = Environments.newInstance(folder.toFile(), config)) {
             environment.executeInTransaction(txn -> {
                 try (var cursor = environment
                         .openStore(STORE, StoreConfig.WITHOUT_DUPLICATES, txn)
                         .openCursor(txn)) {
                     while (cursor.getNext()) {
-                        byte[] record = checked(cursor.getValue());
+                        byte[] record = verified(cursor.getValue());
                         if (record != null) {
-                            all.put(StringBinding.entryToString(cursor.getKey()), record);
+                            recordsByName.put(StringBinding.entryToString(cursor.getKey()), record);
                         }
                     }
                 }
             });
         }
-        return all;
+        return recordsByName;
     }
 
-    private static byte[] checked(ByteIterable value) {
+    private static byte[] verified(ByteIterable value) {
         ByteBuffer buffer = ByteBuffer.wrap(value.getBytesUnsafe(), 0, value.getLength());
         if (buffer.remaining() < Integer.BYTES) {
             return null;
         }
-        int check = buffer.getInt();
+        int expectedChecksum = buffer.getInt();
         byte[] record = new byte[buffer.remaining()];
         buffer.get(record);
         CRC32C crc = new CRC32C();
         crc.update(record);
-        return (int) crc.getValue() == check ? record : null;
+        return (int) crc.getValue() == expectedChecksum ? record : null;
     }
 
-    /** Removes what is left of it, so that it does not come back with power: first its name, then its files. */
-    static void remove(Path home) throws IOException {
-        Path former = home.resolve("former");
-        for (String name : LEFT) {
-            Path folder = home.resolve(name);
+    /** Removes the imported directories durably: first by a synced rename, then their files. */
+    static void remove(Path directory) throws IOException {
+        Path former = directory.resolve("former");
+        for (String name : ALL_FOLDERS) {
+            Path folder = directory.resolve(name);
             if (Files.isDirectory(folder)) {
                 delete(former);
                 if (!folder.equals(former)) {
                     Files.move(folder, former);
-                    new FileSystemDirectory(home).syncDirectory();
+                    new FileSystemDirectory(directory).syncDirectory();
                     delete(former);
                 }
             }
--- a/src/main/java/gorsemast/storage/package-info.java
+++ b/src/main/java/gorsemast/storage/package-info.java
@@ -1,4 +1,5 @@
 /**
- * The disk: records that are replaced whole and are safe once a save has returned, in files of a fixed number.
+ * Durable storage: records that are replaced as a whole and are durable once a save has returned, in a fixed number of
+ * files.
  */
 package gorsemast.storage;
--- a/src/main/java/gorsemast/store/CallOutcome.java
+++ b/src/main/java/gorsemast/store/CallOutcome.java
@@ -2,22 +2,22 @@
 
 import java.io.IOException;
 
-/** How a call of the store ends. Values; any thread. */
+/** The outcome of a call to the store. */
 public enum CallOutcome {
-    /** What was asked for holds, and outlives what may be lost. */
+    /** The version is acknowledged and survives every tolerated loss. */
     DONE,
-    /** The number is taken by another content, as certainly as if that were acknowledged here. */
+    /** The version number belongs to other content, as certainly as if that had been acknowledged here. */
     CONFLICT,
-    /** Nothing is known: it may have been done or not. */
+    /** Unknown: the call may have taken effect or not. */
     UNCERTAIN;
 
     private static final CallOutcome[] ALL = values();
 
-    /** The outcome of this number. */
-    public static CallOutcome of(int number) throws IOException {
-        if (number < 0 || number >= ALL.length) {
-            throw new IOException("no outcome " + number);
+    /** Returns the outcome with this ordinal. */
+    public static CallOutcome of(int ordinal) throws IOException {
+        if (ordinal < 0 || ordinal >= ALL.length) {
+            throw new IOException("unknown call outcome " + ordinal);
         }
-        return ALL[number];
+        return ALL[ordinal];
     }
 }
--- a/src/main/java/gorsemast/store/CallQueue.java
+++ b/src/main/java/gorsemast/store/CallQueue.java
@@ -8,168 +8,175 @@
 import java.util.Set;
 
 /**
- * The calls of a replica: those that wait, and the one that a primary serves in a round with its backups. Each is
- * answered or forwarded once. Times in microseconds of the replica's clock; one caller, the replica's.
+ * The calls of a replica: those that wait, and the current one, which a primary serves in a round with its backups.
+ * Each call is completed or forwarded exactly once. Times are in microseconds of the replica's clock; called by the
+ * replica only.
  */
 final class CallQueue {
     /**
      * A put or a get.
      *
-     * @param body what to hold; null for a get
-     * @param until when it is given up
+     * @param body the content to store; null for a get
+     * @param deadline when the call is given up
      */
-    record Call(long id, boolean put, long version, byte[] body, ContentDigest digest, long until) {}
+    record Call(long id, boolean put, long version, byte[] body, ContentDigest digest, long deadline) {}
 
-    private final Replica.Output out;
+    private final Replica.Output output;
     private final Deque<Call> waiting = new ArrayDeque<>();
     private final Set<String> acknowledgedBy = new HashSet<>();
-    private Call working;
+    private Call current;
     private long round;
     private long roundSince;
     private boolean onDisk;
-    private boolean copies;
-    /** What all backups of this term hold. */
-    private StoredVersion agreed = StoredVersion.NONE;
+    private boolean replicates;
+    /** The version that all backups of this term store. */
+    private StoredVersion replicated = StoredVersion.NONE;
 
-    /** No call; answers go to this. */
-    CallQueue(Replica.Output out) {
-        this.out = out;
+    /** Creates an empty queue. */
+    CallQueue(Replica.Output output) {
+        this.output = output;
     }
 
-    /** One more call, which waits. */
-    void add(Call call) {
+    /** Adds a call to the end. */
+    void enqueue(Call call) {
         waiting.add(call);
     }
 
-    /** What all backups of this term hold. */
-    StoredVersion agreed() {
-        return agreed;
+    /** Returns the version that all backups of this term store. */
+    StoredVersion replicated() {
+        return replicated;
     }
 
-    /** The number of the last round. */
+    /** Returns the number of the last round. */
     long round() {
         return round;
     }
 
-    /** Whether a call waits and none is served. */
-    boolean ready() {
-        return working == null && !waiting.isEmpty();
+    /** Returns whether a call waits and none is being served. */
+    boolean hasNext() {
+        return current == null && !waiting.isEmpty();
     }
 
-    /** A term begins with this; a call that was being served waits again: what the term began with may hold it already. */
-    void restart(StoredVersion begins) {
-        agreed = begins;
-        if (working != null) {
-            waiting.addFirst(working);
-            working = null;
+    /**
+     * Begins a term. A call that was being served waits again, as the initial version of the term may already contain
+     * it.
+     */
+    void beginTerm(StoredVersion initial) {
+        replicated = initial;
+        if (current != null) {
+            waiting.addFirst(current);
+            current = null;
         }
     }
 
-    /** All calls that wait go to the primary. */
+    /** Forwards all waiting calls to the primary. */
     void forward(Member primary) {
         while (!waiting.isEmpty()) {
-            out.forward(waiting.poll().id(), primary);
+            output.forward(waiting.poll().id(), primary);
         }
     }
 
-    /** Gives up the waiting calls whose time is over. */
+    /** Gives up the waiting calls whose deadline has passed. */
     void expireWaiting(long now) {
         waiting.removeIf(call -> {
-            if (now > call.until()) {
+            if (now > call.deadline()) {
                 giveUp(call);
             }
-            return now > call.until();
+            return now > call.deadline();
         });
     }
 
-    /** Gives up the call that is served if its time is over; whether it did. */
-    boolean expireWorking(long now) {
-        boolean over = working != null && now > working.until();
-        if (over) {
-            fail();
+    /** Gives up the current call if its deadline has passed; returns whether it did. */
+    boolean expireCurrent(long now) {
+        boolean expired = current != null && now > current.deadline();
+        if (expired) {
+            failCurrent();
         }
-        return over;
+        return expired;
     }
 
-    /** Gives up the call that is served, if there is one. */
-    void fail() {
-        if (working != null) {
-            Call over = working;
-            working = null;
-            giveUp(over);
+    /** Gives up the current call, if there is one. */
+    void failCurrent() {
+        if (current != null) {
+            Call expired = current;
+            current = null;
+            giveUp(expired);
         }
     }
 
     private void giveUp(Call call) {
-        out.complete(call.id(), CallOutcome.UNCERTAIN, StoredVersion.NONE);
+        output.complete(call.id(), CallOutcome.UNCERTAIN, StoredVersion.NONE);
     }
 
     /**
-     * Begins the round of the first call that waits; there must be one.
+     * Begins the round of the first waiting call; there must be one.
      *
-     * @param held what the primary holds
+     * @param stored what the primary stores
      * @param term the primary's term
-     * @return what it holds from now on
+     * @return what it stores from now on
      */
-    StoredVersion begin(StoredVersion held, long term, long now) {
-        working = waiting.poll();
+    StoredVersion beginRound(StoredVersion stored, long term, long now) {
+        current = waiting.poll();
         acknowledgedBy.clear();
         round++;
         roundSince = now;
-        StoredVersion next = working.put() ? with(working, held, term) : held;
-        copies = next != agreed; // also what an earlier call that was given up has left with some of the backups
-        onDisk = !copies;
+        StoredVersion next = current.put() ? apply(current, stored, term) : stored;
+        replicates = next != replicated; // also what a call that was given up has left at some of the backups
+        onDisk = !replicates;
         return next;
     }
 
-    /** Whether the round is to bring something to disks, and not only to confirm the term. */
-    boolean copies() {
-        return copies;
+    /** Returns whether the round writes a version to disks, and doesn't only confirm the term. */
+    boolean replicates() {
+        return replicates;
     }
 
-    /** What the round brings is on the primary's disk. */
-    void onDisk() {
+    /** Records that the version of the round is on the primary's disk. */
+    void markOnDisk() {
         onDisk = true;
     }
 
-    /** A backup has acknowledged the round. */
-    void acknowledged(String backup) {
+    /** Records that a backup has acknowledged the round. */
+    void recordAcknowledgement(String backup) {
         acknowledgedBy.add(backup);
     }
 
-    /** Whether a round has waited longer than this for one of the backups, and not for the primary's own disk. */
-    boolean slow(Collection<String> backups, long slowMicros, long now) {
-        return working != null && onDisk && now - roundSince > slowMicros && !acknowledgedBy.containsAll(backups);
+    /** Returns whether a round has waited longer than this for a backup, and not for the primary's own disk. */
+    boolean isStalled(Collection<String> backups, long stallMicros, long now) {
+        return current != null && onDisk && now - roundSince > stallMicros && !acknowledgedBy.containsAll(backups);
     }
 
-    /** Answers the call that is served once the primary's disk and all backups hold it; whether it did. */
-    boolean finish(Collection<String> backups, StoredVersion held) {
-        if (working == null || !onDisk || !acknowledgedBy.containsAll(backups)) {
+    /** Completes the current call once the primary's disk and all backups have it; returns whether it did. */
+    boolean tryFinish(Collection<String> backups, StoredVersion stored) {
+        if (current == null || !onDisk || !acknowledgedBy.containsAll(backups)) {
             return false;
         }
-        Call done = working;
-        working = null;
-        agreed = held;
-        if (copies) {
-            out.committed(held);
+        Call finished = current;
+        current = null;
+        replicated = stored;
+        if (replicates) {
+            output.committed(stored);
         }
-        out.complete(done.id(), outcome(done, held), held);
+        output.complete(finished.id(), outcome(finished, stored), stored);
         return true;
     }
 
-    /** What is held once an order is done, which takes its number, unless that is taken or too old to be remembered. */
-    private static StoredVersion with(Call order, StoredVersion held, long term) {
-        if (order.version() > held.version()) {
-            return held.next(order.version(), term, order.body(), order.digest());
+    /**
+     * Returns what is stored after a put, which takes its version number unless that is taken or too old to be
+     * remembered.
+     */
+    private static StoredVersion apply(Call call, StoredVersion stored, long term) {
+        if (call.version() > stored.version()) {
+            return stored.successor(call.version(), term, call.body(), call.digest());
         }
-        boolean free = held.history().digest(order.version()) == null
-                && !held.history().forgets(order.version());
-        return free ? held.taking(order.version(), term, order.digest()) : held;
+        boolean free = stored.history().digest(call.version()) == null
+                && !stored.history().isForgotten(call.version());
+        return free ? stored.withTaken(call.version(), term, call.digest()) : stored;
     }
 
-    /** How a call ends whose round with the backups has come to its end. */
-    private static CallOutcome outcome(Call call, StoredVersion held) {
-        ContentDigest holds = call.put() ? held.history().digest(call.version()) : null;
-        return holds == null || holds.equals(call.digest()) ? CallOutcome.DONE : CallOutcome.CONFLICT;
+    /** Returns the outcome of a call whose round is complete. */
+    private static CallOutcome outcome(Call call, StoredVersion stored) {
+        ContentDigest taken = call.put() ? stored.history().digest(call.version()) : null;
+        return taken == null || taken.equals(call.digest()) ? CallOutcome.DONE : CallOutcome.CONFLICT;
     }
 }
--- a/src/main/java/gorsemast/store/LeaderHint.java
+++ b/src/main/java/gorsemast/store/LeaderHint.java
@@ -1,8 +1,8 @@
 package gorsemast.store;
 
 /**
- * Which member a replica last took for the active primary, and when it last heard so. Times in microseconds of the
- * replica's clock; one caller, the replica's.
+ * The member that a replica last took for the active primary, and when it last heard of it. Times are in microseconds
+ * of the replica's clock; called by the replica only.
  */
 final class LeaderHint {
     private static final long NEVER = Long.MIN_VALUE / 2;
@@ -10,29 +10,29 @@
     private String primary = "";
     private long heardAt = NEVER;
 
-    /** This member leads, as was heard now. */
-    void heard(String id, long now) {
+    /** Records that this member is the primary. */
+    void recordHeard(String id, long now) {
         primary = id;
         heardAt = now;
     }
 
-    /** Its time is over before it is silent; who it was stays known. */
+    /** Expires the hint at once; the id of the last primary stays known. */
     void expire() {
         heardAt = NEVER;
     }
 
-    /** The last one known; empty for none. */
+    /** Returns the id of the last known primary; empty for none. */
     String primary() {
         return primary;
     }
 
-    /** Whether another member than this one was heard as primary within {@link Liveness#SILENT_MICROS}. */
+    /** Returns whether a member other than this one was heard as primary within {@link Liveness#HEARTBEAT_TIMEOUT_MICROS}. */
     boolean ledByOther(String id, long now) {
-        return !primary.equals(id) && now - heardAt < Liveness.SILENT_MICROS;
+        return !primary.equals(id) && now - heardAt < Liveness.HEARTBEAT_TIMEOUT_MICROS;
     }
 
-    /** Whether no primary was heard for longer than {@link Liveness#SILENT_MICROS}. */
-    boolean silent(long now) {
-        return now - heardAt > Liveness.SILENT_MICROS;
+    /** Returns whether no primary was heard for longer than {@link Liveness#HEARTBEAT_TIMEOUT_MICROS}. */
+    boolean timedOut(long now) {
+        return now - heardAt > Liveness.HEARTBEAT_TIMEOUT_MICROS;
     }
 }
--- a/src/main/java/gorsemast/store/Liveness.java
+++ b/src/main/java/gorsemast/store/Liveness.java
@@ -8,113 +8,124 @@
 import java.util.TreeMap;
 
 /**
- * Who was heard when, and what each said of itself: hints for time-outs and for the choice of members. No promise,
- * count or acknowledgement rests on it. Members that are in no view any more are forgotten. One caller; times in
- * microseconds of the caller's clock.
+ * Records when each member was last heard and what it reported about itself: hints for timeouts and for the choice of
+ * members. No promise, count or acknowledgement relies on it. Machines that are in no view are forgotten after a while.
+ * Not thread-safe; times are in microseconds of the caller's clock.
  */
 final class Liveness {
-    /** A member that was not heard for this long is taken for silent: four signs of life. */
-    static final long SILENT_MICROS = 650_000;
-    /** One that is in no view and was not heard for this long is forgotten, and no link to it is kept. */
+    /** A member that was not heard for this long counts as silent: four missed heartbeats. */
+    static final long HEARTBEAT_TIMEOUT_MICROS = 650_000;
+    /** A machine that is in no view and was not heard for this long is forgotten, and no link to it is kept. */
     static final long FORGET_MICROS = 10_000_000;
-    /** Of those that are in no view, no more are remembered than this; the one that was not heard longest goes first. */
-    static final int MOST_OTHERS = 32;
+    /** Limit for remembered machines that are in no view; the one that was silent longest is dropped first. */
+    static final int MAX_NON_MEMBERS = 32;
 
-    private static final class Seen {
+    private static final class Observation {
         private Member member;
-        private long at;
-        private Location place;
-        private long settled = -1;
+        private long lastHeardAt;
+        private Location location;
+        private long settledTerm = -1;
         private boolean leaving;
     }
 
-    private final Map<String, Seen> seen = new TreeMap<>();
+    private final Map<String, Observation> observations = new TreeMap<>();
 
-    /** A message of it has come. */
-    void heard(Member member, long now) {
-        Seen one = seen.computeIfAbsent(member.id(), id -> new Seen());
-        one.member = member;
-        one.at = now;
+    /** Records that a message of this member has arrived. */
+    void recordHeard(Member member, long now) {
+        Observation observation = observations.computeIfAbsent(member.id(), id -> new Observation());
+        observation.member = member;
+        observation.lastHeardAt = now;
     }
 
-    /** It has said where it stands, which view without an old list is on its disk, and whether it is about to leave; after {@link #heard}. */
-    void told(String id, Location place, boolean leaving, long settled) {
-        Seen one = seen.get(id);
-        one.settled = settled;
-        one.place = place;
-        one.leaving = leaving;
+    /**
+     * Records a member's heartbeat, after {@link #recordHeard}.
+     *
+     * @param settledTerm the term of the last view on its disk that is not joint
+     */
+    void recordReport(String id, Location location, boolean leaving, long settledTerm) {
+        Observation observation = observations.get(id);
+        observation.settledTerm = settledTerm;
+        observation.location = location;
+        observation.leaving = leaving;
     }
 
-    /** It has said that it is about to leave; after {@link #heard}. */
-    void leaves(String id) {
-        seen.get(id).leaving = true;
+    /** Records that a member is about to leave, after {@link #recordHeard}. */
+    void markLeaving(String id) {
+        observations.get(id).leaving = true;
     }
 
-    /** Whether it was heard a moment ago. */
-    boolean alive(String id, long now) {
-        Seen one = seen.get(id);
-        return one != null && one.member != null && now - one.at < SILENT_MICROS;
+    /** Returns whether the member was heard within {@link #HEARTBEAT_TIMEOUT_MICROS}. */
+    boolean isAlive(String id, long now) {
+        Observation observation = observations.get(id);
+        return observation != null
+                && observation.member != null
+                && now - observation.lastHeardAt < HEARTBEAT_TIMEOUT_MICROS;
     }
 
-    /** For how long it was not heard; one that was never heard is given its time from when it is first asked for. */
-    long silence(String id, long now) {
+    /** Returns how long the member was not heard; for one that was never heard, since the first such call. */
+    long silenceMicros(String id, long now) {
         return now
-                - seen.computeIfAbsent(id, missed -> {
-                            Seen one = new Seen();
-                            one.at = now;
-                            return one;
+                - observations.computeIfAbsent(id, unseen -> {
+                            Observation observation = new Observation();
+                            observation.lastHeardAt = now;
+                            return observation;
                         })
-                        .at;
+                        .lastHeardAt;
     }
 
-    /** The term of the last view without an old list of members that it said it has on disk; -1 for none. */
-    long settled(String id) {
-        Seen one = seen.get(id);
-        return one == null ? -1 : one.settled;
+    /** Returns the term of the last view on the member's disk that is not joint, as it reported; -1 for none. */
+    long settledTerm(String id) {
+        Observation observation = observations.get(id);
+        return observation == null ? -1 : observation.settledTerm;
     }
 
-    /** Whether it said last that it is about to leave. */
-    boolean leaving(String id) {
-        Seen one = seen.get(id);
-        return one != null && one.leaving;
+    /** Returns whether the member last reported that it is about to leave. */
+    boolean isLeaving(String id) {
+        Observation observation = observations.get(id);
+        return observation != null && observation.leaving;
     }
 
-    /** Where it said that it stands; null where it has not said it. */
-    Location place(String id) {
-        Seen one = seen.get(id);
-        return one == null ? null : one.place;
+    /** Returns the member's reported location; null where it has reported none. */
+    Location location(String id) {
+        Observation observation = observations.get(id);
+        return observation == null ? null : observation.location;
     }
 
-    /** The member of this id as it named itself, or one without an address. */
+    /** Returns the member with this id as it named itself, or one without an address. */
     Member member(String id) {
-        Seen one = seen.get(id);
-        return one == null || one.member == null ? new Member(id, "") : one.member;
+        Observation observation = observations.get(id);
+        return observation == null || observation.member == null ? new Member(id, "") : observation.member;
     }
 
-    /** Ids of those that were heard a moment ago. */
-    Set<String> alive(long now) {
+    /** Returns the ids of the members that were heard within {@link #HEARTBEAT_TIMEOUT_MICROS}. */
+    Set<String> aliveIds(long now) {
         Set<String> alive = new HashSet<>();
-        seen.keySet().stream().filter(id -> alive(id, now)).forEach(alive::add);
+        observations.keySet().stream().filter(id -> isAlive(id, now)).forEach(alive::add);
         return alive;
     }
 
-    /** Those that were heard of and are in no view, by id. */
-    List<Member> others(View view) {
+    /** Returns the machines that were heard of and are in no view, ordered by id. */
+    List<Member> nonMembers(View view) {
         List<Member> others = new ArrayList<>();
-        seen.values().stream()
-                .filter(one -> one.member != null && !view.isVoter(one.member.id()))
-                .forEach(one -> others.add(one.member));
+        observations.values().stream()
+                .filter(observation -> observation.member != null && !view.isVoter(observation.member.id()))
+                .forEach(observation -> others.add(observation.member));
         return others;
     }
 
-    /** Forgets who is in no view and was not heard for long, and the longest silent of too many. */
+    /**
+     * Forgets machines that are in no view and were silent for too long, and the longest silent ones above the limit.
+     */
     void forget(View view, long now) {
-        seen.entrySet().removeIf(one -> !view.isVoter(one.getKey()) && now - one.getValue().at > FORGET_MICROS);
+        observations
+                .entrySet()
+                .removeIf(observation -> !view.isVoter(observation.getKey())
+                        && now - observation.getValue().lastHeardAt > FORGET_MICROS);
         List<String> others = new ArrayList<>(
-                seen.keySet().stream().filter(id -> !view.isVoter(id)).toList());
-        others.sort((a, b) -> Long.compare(seen.get(a).at, seen.get(b).at));
-        for (int i = 0; i < others.size() - MOST_OTHERS; i++) {
-            seen.remove(others.get(i));
+                observations.keySet().stream().filter(id -> !view.isVoter(id)).toList());
+        others.sort((a, b) -> Long.compare(observations.get(a).lastHeardAt, observations.get(b).lastHeardAt));
+        for (int i = 0; i < others.size() - MAX_NON_MEMBERS; i++) {
+            observations.remove(others.get(i));
         }
     }
 }
--- a/src/main/java/gorsemast/store/Location.java
+++ b/src/main/java/gorsemast/store/Location.java
@@ -5,14 +5,14 @@
 import java.io.IOException;
 
 /**
- * Where a member's machine stands, as it says itself. A value; any thread.
+ * Where a member's machine is, as the member reports it.
  *
- * @param zone its zone; empty where it is not told
- * @param region its zone's region; empty where it is not told
- * @param lossCounted whether the machine's loss is one of those that are to be borne: only such a machine is taken in
+ * @param zone its zone; empty where it is not configured
+ * @param region the region of its zone; empty where it is not configured
+ * @param lossCounted whether the loss of this machine is among the tolerated losses: only such a machine can join
  */
 public record Location(String zone, String region, boolean lossCounted) {
-    /** Of a member that has not said it. */
+    /** The location of a member that has reported none. */
     public static final Location UNKNOWN = new Location("", "", true);
 
     void write(DataOutputStream out) throws IOException {
--- a/src/main/java/gorsemast/store/Member.java
+++ b/src/main/java/gorsemast/store/Member.java
@@ -5,10 +5,10 @@
 import java.io.IOException;
 
 /**
- * A member of the store: one life of one disk. A machine whose disk comes back empty is another member at the same
- * address, so what the lost one had promised binds nobody by mistake.
+ * A member of the store, identified by its disk. A machine whose disk comes back empty is a different member at the
+ * same address, so it never votes as the member whose promises were lost.
  *
- * @param id the address and a word drawn when the disk was first used
+ * @param id the address and a random suffix chosen when the disk was first used
  */
 public record Member(String id, String ip) {
     void write(DataOutputStream out) throws IOException {
--- a/src/main/java/gorsemast/store/MembershipPlanner.java
+++ b/src/main/java/gorsemast/store/MembershipPlanner.java
@@ -13,31 +13,31 @@
 import java.util.stream.Collectors;
 
 /**
- * Who is to be a member, and which members hold copies, so that each loss that is to be borne leaves a copy and more
- * than half of the members, as far as the machines allow it. Pure decisions; any thread.
+ * Plans the members and which of them hold copies, so that every tolerated loss leaves a copy and a majority of the
+ * members, as far as the machines allow it. Pure functions; thread-safe.
  *
- * <p>Members are {@code 2f + 1}, no more: a fourth beside three would make the majority three and bear no further loss.
- * A machine beyond that is a spare. It holds no copy, and takes a place at once when a member says that it leaves or
- * comes back with an empty disk at its address, or once a member was silent for {@link #GONE_MICROS}.
+ * <p>There are {@code 2f + 1} members, no more: a fourth beside three would raise the majority to three and tolerate no
+ * further loss. Any other machine is a spare. It holds no copy, and replaces a member at once when that member leaves
+ * or comes back with an empty disk at its address, or once it was silent for {@link #REPLACE_AFTER_MICROS}.
  */
 final class MembershipPlanner {
-    /** A member that was silent for this long may be replaced; a process that is killed is back within it. */
-    static final long GONE_MICROS = 1_500_000;
+    /** A member that was silent for this long may be replaced; a killed process restarts within it. */
+    static final long REPLACE_AFTER_MICROS = 1_500_000;
 
     /**
      * A machine as it is seen now.
      *
-     * @param silence for how long it was not heard, in microseconds
-     * @param place null where it has not been told
+     * @param silenceMicros how long it has not been heard
+     * @param location null where it has not been reported
      */
-    record Candidate(Member member, long silence, boolean leaving, Location place) {
-        boolean alive() {
-            return silence < Liveness.SILENT_MICROS;
+    record Candidate(Member member, long silenceMicros, boolean leaving, Location location) {
+        boolean isAlive() {
+            return silenceMicros < Liveness.HEARTBEAT_TIMEOUT_MICROS;
         }
 
-        /** Whether it can be taken in. */
-        boolean joins() {
-            return alive() && !leaving && place != null && place.lossCounted();
+        /** Returns whether the machine can become a member. */
+        boolean canJoin() {
+            return isAlive() && !leaving && location != null && location.lossCounted();
         }
     }
 
@@ -47,72 +47,79 @@
         this.tolerance = tolerance;
     }
 
-    /** How many members there are to be, where there are machines for it. */
-    int members() {
+    /** Returns how many members there should be, given enough machines. */
+    int targetMemberCount() {
         return 2 * tolerance.losses() + 1;
     }
 
-    /** How many backups of so many members: at least the losses, and so many that every majority meets a copy. */
-    int backups(int members) {
+    /**
+     * Returns the number of backups for so many members: at least the losses, and enough that every majority has a
+     * copy.
+     */
+    int backupCount(int members) {
         return Math.min(members - 1, Math.max(tolerance.losses(), (members - 1) / 2));
     }
 
     /**
-     * The members that are to follow; null for no change. They differ by one: one is exchanged or one is added.
+     * Returns the next members; null for no change. They differ from the current ones by one: exchanged or added.
      *
-     * @param me the primary, who decides it and never replaces itself
-     * @param members the members now, the primary too
-     * @param others machines that are none
+     * @param self the primary, which decides this and never replaces itself
+     * @param members the current members, including the primary
+     * @param others machines that are not members
      */
-    List<Member> change(Member me, List<Candidate> members, List<Candidate> others) {
-        List<Candidate> joining = others.stream().filter(Candidate::joins).toList();
-        for (Candidate one : members) {
+    List<Member> planChange(Member self, List<Candidate> members, List<Candidate> others) {
+        List<Candidate> joining = others.stream().filter(Candidate::canJoin).toList();
+        for (Candidate candidate : members) {
             for (Candidate other : others) {
-                if (other.alive()
+                if (other.isAlive()
                         && !other.leaving
-                        && !one.member.equals(me)
-                        && other.silence < one.silence
-                        && other.member.ip().equals(one.member.ip())) {
-                    return exchanged(members, one, other); // its disk was lost: nobody else will be heard there
+                        && !candidate.member.equals(self)
+                        && other.silenceMicros < candidate.silenceMicros
+                        && other.member.ip().equals(candidate.member.ip())) {
+                    return replace(
+                            members, candidate, other); // its disk was lost: the old member will never be heard again
                 }
             }
         }
         if (joining.isEmpty()) {
             return null;
         }
-        Candidate gone = members.stream()
-                .filter(one -> !one.member.equals(me) && (one.leaving || one.silence > GONE_MICROS))
-                .max(Comparator.comparingLong(Candidate::silence))
+        Candidate departed = members.stream()
+                .filter(candidate -> !candidate.member.equals(self)
+                        && (candidate.leaving || candidate.silenceMicros > REPLACE_AFTER_MICROS))
+                .max(Comparator.comparingLong(Candidate::silenceMicros))
                 .orElse(null);
-        if (gone != null) {
-            return best(
-                    joining.stream().map(one -> new Step(members, gone, one)).toList());
+        if (departed != null) {
+            return leastExposed(joining.stream()
+                    .map(candidate -> new Change(members, departed, candidate))
+                    .toList());
         }
-        if (!members.stream().allMatch(one -> one.alive() && one.place != null)) {
-            return null; // more members or others are for calm times only
+        if (!members.stream().allMatch(candidate -> candidate.isAlive() && candidate.location != null)) {
+            return null; // growing or moving the membership waits until all members are well
         }
-        if (members.size() < members()) {
-            return best(
-                    joining.stream().map(one -> new Step(members, null, one)).toList());
+        if (members.size() < targetMemberCount()) {
+            return leastExposed(joining.stream()
+                    .map(candidate -> new Change(members, null, candidate))
+                    .toList());
         }
-        int exposed = exposed(places(members));
-        if (2 * (members.size() - exposed) > members.size()) {
+        int currentLoss = worstLoss(locations(members));
+        if (2 * (members.size() - currentLoss) > members.size()) {
             return null;
         }
-        List<Step> steps = new ArrayList<>();
-        for (Candidate one : members) {
+        List<Change> changes = new ArrayList<>();
+        for (Candidate candidate : members) {
             for (Candidate other : joining) {
-                Step step = new Step(members, one, other);
-                if (!one.member.equals(me) && exposed(places(step.after())) < exposed) {
-                    steps.add(step);
+                Change change = new Change(members, candidate, other);
+                if (!candidate.member.equals(self) && worstLoss(locations(change.after())) < currentLoss) {
+                    changes.add(change);
                 }
             }
         }
-        return steps.isEmpty() ? null : best(steps);
+        return changes.isEmpty() ? null : leastExposed(changes);
     }
 
-    /** One member exchanged, or one more. */
-    private record Step(List<Candidate> members, Candidate out, Candidate in) {
+    /** Exchanges one member, or adds one where {@code out} is null. */
+    private record Change(List<Candidate> members, Candidate out, Candidate in) {
         List<Candidate> after() {
             List<Candidate> after = new ArrayList<>(members);
             if (out == null) {
@@ -124,30 +131,30 @@
         }
     }
 
-    private List<Member> best(List<Step> steps) {
-        Step best = steps.stream()
-                .min(Comparator.comparingInt(step -> exposed(places(step.after()))))
+    private List<Member> leastExposed(List<Change> changes) {
+        Change best = changes.stream()
+                .min(Comparator.comparingInt(change -> worstLoss(locations(change.after()))))
                 .orElseThrow();
         return best.after().stream().map(Candidate::member).toList();
     }
 
-    private static List<Member> exchanged(List<Candidate> members, Candidate out, Candidate in) {
-        return new Step(members, out, in)
+    private static List<Member> replace(List<Candidate> members, Candidate out, Candidate in) {
+        return new Change(members, out, in)
                 .after().stream().map(Candidate::member).toList();
     }
 
-    private static List<Location> places(List<Candidate> of) {
-        return of.stream()
-                .map(one -> one.place == null ? Location.UNKNOWN : one.place)
+    private static List<Location> locations(List<Candidate> candidates) {
+        return candidates.stream()
+                .map(candidate -> candidate.location == null ? Location.UNKNOWN : candidate.location)
                 .toList();
     }
 
-    /** Whether a loss that is to be borne leaves more than half of members that stand there. */
+    /** Returns whether every tolerated loss leaves a majority of members at these locations. */
     boolean majoritySurvives(List<Location> members) {
-        return 2 * (members.size() - exposed(members)) > members.size();
+        return 2 * (members.size() - worstLoss(members)) > members.size();
     }
 
-    /** Whether a loss of zones or regions that is to be borne leaves one of the copies that stand there. */
+    /** Returns whether every tolerated loss of zones or regions leaves one of the copies at these locations. */
     boolean copySurvives(Collection<Location> copies) {
         return distinct(copies, Location::zone) > tolerance.zones()
                 && distinct(copies, Location::region) > tolerance.regions();
@@ -157,77 +164,82 @@
         return places.stream().map(domain).distinct().count();
     }
 
-    /** The most members that one loss that is to be borne takes away. */
-    private int exposed(List<Location> members) {
+    /** Returns the largest number of members that one tolerated loss takes away. */
+    private int worstLoss(List<Location> members) {
         return Math.max(
                 Math.min(tolerance.machines(), members.size()),
                 Math.max(
-                        largest(members, Location::zone, tolerance.zones()),
-                        largest(members, Location::region, tolerance.regions())));
+                        membersInLargest(members, Location::zone, tolerance.zones()),
+                        membersInLargest(members, Location::region, tolerance.regions())));
     }
 
-    private static int largest(List<Location> members, Function<Location, String> domain, int lost) {
-        if (lost == 0) {
+    private static int membersInLargest(List<Location> members, Function<Location, String> domain, int lostDomains) {
+        if (lostDomains == 0) {
             return 0;
         }
         Map<String, Long> counts = members.stream().collect(Collectors.groupingBy(domain, Collectors.counting()));
         return (int) counts.values().stream()
                 .sorted(Comparator.reverseOrder())
-                .limit(lost)
+                .limit(lostDomains)
                 .mapToLong(Long::longValue)
                 .sum();
     }
 
     /**
-     * The members that hold copies beside the primary, best first; fewer than {@link #backups} where too few can.
+     * Returns the members that hold copies beside the primary, best first; fewer than {@link #backupCount} where too
+     * few can.
      *
-     * @param members all members, the primary too
-     * @param able ids of those that may be chosen
-     * @param preferred ids that are chosen before others of the same worth
+     * @param members all members, including the primary
+     * @param able ids of the members that may be chosen
+     * @param preferred ids that win among members of equal rank
      */
-    List<String> backups(String primary, List<Candidate> members, Set<String> able, Collection<String> preferred) {
-        List<Candidate> pool = new ArrayList<>(members.stream()
-                .filter(one ->
-                        able.contains(one.member.id()) && !one.member.id().equals(primary))
+    List<String> chooseBackups(
+            String primary, List<Candidate> members, Set<String> able, Collection<String> preferred) {
+        List<Candidate> eligible = new ArrayList<>(members.stream()
+                .filter(candidate -> able.contains(candidate.member.id())
+                        && !candidate.member.id().equals(primary))
                 .toList());
-        List<Location> taken = new ArrayList<>(members.stream()
-                .filter(one -> one.member.id().equals(primary))
-                .map(Candidate::place)
+        List<Location> occupied = new ArrayList<>(members.stream()
+                .filter(candidate -> candidate.member.id().equals(primary))
+                .map(Candidate::location)
                 .filter(Objects::nonNull)
                 .toList());
         List<String> backups = new ArrayList<>();
-        while (backups.size() < backups(members.size()) && !pool.isEmpty()) {
-            Candidate next = pool.stream()
-                    .min(Comparator.comparing((Candidate one) -> one.leaving)
-                            .thenComparing(one -> !newDomain(taken, one.place))
-                            .thenComparing(one -> !preferred.contains(one.member.id())))
+        while (backups.size() < backupCount(members.size()) && !eligible.isEmpty()) {
+            Candidate next = eligible.stream()
+                    .min(Comparator.comparing((Candidate candidate) -> candidate.leaving)
+                            .thenComparing(candidate -> !addsDomain(occupied, candidate.location))
+                            .thenComparing(candidate -> !preferred.contains(candidate.member.id())))
                     .orElseThrow();
-            pool.remove(next);
+            eligible.remove(next);
             backups.add(next.member.id());
-            if (next.place != null) {
-                taken.add(next.place);
+            if (next.location != null) {
+                occupied.add(next.location);
             }
         }
         return backups;
     }
 
-    private boolean newDomain(List<Location> taken, Location place) {
-        Set<String> zones = taken.stream().map(Location::zone).collect(Collectors.toSet());
-        Set<String> regions = taken.stream().map(Location::region).collect(Collectors.toSet());
-        return place != null
-                && (tolerance.zones() == 0 || !zones.contains(place.zone()))
-                && (tolerance.regions() == 0 || !regions.contains(place.region()));
+    private boolean addsDomain(List<Location> occupied, Location location) {
+        Set<String> zones = occupied.stream().map(Location::zone).collect(Collectors.toSet());
+        Set<String> regions = occupied.stream().map(Location::region).collect(Collectors.toSet());
+        return location != null
+                && (tolerance.zones() == 0 || !zones.contains(location.zone()))
+                && (tolerance.regions() == 0 || !regions.contains(location.region()));
     }
 
-    /** Whether these copies are as they should be: enough, none about to leave, and spread as the losses ask. */
-    boolean sound(String primary, List<Candidate> members, Collection<String> backups) {
+    /** Returns whether these copies suffice: enough, none on a leaving member, and spread as the tolerance requires. */
+    boolean areSound(String primary, List<Candidate> members, Collection<String> backups) {
         Set<String> copies = new HashSet<>(backups);
         copies.add(primary);
-        List<Candidate> holding =
-                members.stream().filter(one -> copies.contains(one.member.id())).toList();
-        boolean spread = holding.stream().anyMatch(one -> one.place == null) || copySurvives(places(holding));
-        boolean stays = holding.stream()
-                .noneMatch(one -> one.leaving && !one.member.id().equals(primary));
-        return holding.size() == 1 + backups(members.size()) && stays && spread;
+        List<Candidate> holders = members.stream()
+                .filter(candidate -> copies.contains(candidate.member.id()))
+                .toList();
+        boolean isSpread =
+                holders.stream().anyMatch(candidate -> candidate.location == null) || copySurvives(locations(holders));
+        boolean allStay = holders.stream()
+                .noneMatch(
+                        candidate -> candidate.leaving && !candidate.member.id().equals(primary));
+        return holders.size() == 1 + backupCount(members.size()) && allStay && isSpread;
     }
 }
--- a/src/main/java/gorsemast/store/MessageCodec.java
+++ b/src/main/java/gorsemast/store/MessageCodec.java
@@ -16,7 +16,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** The form of a {@link Message} on a link: a byte for its type, its sender, and its fields in order. Any thread. */
+/** Encodes a {@link Message} on a link: a byte for the type, the sender, and the fields in order. Thread-safe. */
 public final class MessageCodec {
     private static final int HEARTBEAT = 0;
     private static final int REQUEST_VOTE = 1;
@@ -36,7 +36,7 @@
     /** Writes a message. */
     public static void write(DataOutputStream out, Message message) throws IOException {
         if (message instanceof Heartbeat heartbeat) {
-            begin(out, HEARTBEAT, message);
+            writeHeader(out, HEARTBEAT, message);
             out.writeLong(heartbeat.promised());
             out.writeLong(heartbeat.viewTerm());
             out.writeLong(heartbeat.settledTerm());
@@ -44,61 +44,61 @@
             out.writeBoolean(heartbeat.leaving());
             heartbeat.location().write(out);
         } else if (message instanceof Leave) {
-            begin(out, LEAVE, message);
+            writeHeader(out, LEAVE, message);
         } else if (message instanceof RequestVote request) {
-            begin(out, REQUEST_VOTE, message);
+            writeHeader(out, REQUEST_VOTE, message);
             out.writeLong(request.term());
             out.writeLong(request.viewTerm());
             request.stored().write(out);
         } else if (message instanceof Vote vote) {
-            begin(out, VOTE, message);
+            writeHeader(out, VOTE, message);
             out.writeLong(vote.term());
             out.writeBoolean(vote.newer() != null);
             if (vote.newer() != null) {
                 vote.newer().write(out);
             }
         } else if (message instanceof VoteRefused refused) {
-            begin(out, VOTE_REFUSED, message);
+            writeHeader(out, VOTE_REFUSED, message);
             out.writeLong(refused.promised());
             refused.view().write(out);
         } else if (message instanceof Install install) {
-            begin(out, INSTALL, message);
+            writeHeader(out, INSTALL, message);
             out.writeLong(install.term());
             install.view().write(out);
             install.stored().write(out);
         } else if (message instanceof InstallAck ack) {
-            begin(out, INSTALL_ACK, message);
+            writeHeader(out, INSTALL_ACK, message);
             out.writeLong(ack.term());
         } else if (message instanceof ViewChange change) {
-            begin(out, VIEW_CHANGE, message);
+            writeHeader(out, VIEW_CHANGE, message);
             change.view().write(out);
         } else if (message instanceof Append append) {
-            begin(out, APPEND, message);
-            round(out, append.term(), append.round());
+            writeHeader(out, APPEND, message);
+            writeRound(out, append.term(), append.round());
             append.stored().write(out);
         } else if (message instanceof AppendAck ack) {
-            begin(out, APPEND_ACK, message);
-            round(out, ack.term(), ack.round());
+            writeHeader(out, APPEND_ACK, message);
+            writeRound(out, ack.term(), ack.round());
         } else if (message instanceof Confirm confirm) {
-            begin(out, CONFIRM, message);
-            round(out, confirm.term(), confirm.round());
+            writeHeader(out, CONFIRM, message);
+            writeRound(out, confirm.term(), confirm.round());
         } else if (message instanceof ConfirmAck ack) {
-            begin(out, CONFIRM_ACK, message);
-            round(out, ack.term(), ack.round());
+            writeHeader(out, CONFIRM_ACK, message);
+            writeRound(out, ack.term(), ack.round());
         }
     }
 
-    private static void begin(DataOutputStream out, int type, Message message) throws IOException {
+    private static void writeHeader(DataOutputStream out, int type, Message message) throws IOException {
         out.writeByte(type);
         message.from().write(out);
     }
 
-    private static void round(DataOutputStream out, long term, long round) throws IOException {
+    private static void writeRound(DataOutputStream out, long term, long round) throws IOException {
         out.writeLong(term);
         out.writeLong(round);
     }
 
-    /** Reads a message; throws {@link IOException} on anything that is none. */
+    /** Reads a message; throws {@link IOException} on invalid input. */
     public static Message read(DataInputStream in) throws IOException {
         int type = in.readUnsignedByte();
         Member from = Member.read(in);
@@ -123,7 +123,7 @@
             case APPEND_ACK -> new AppendAck(from, in.readLong(), in.readLong());
             case CONFIRM -> new Confirm(from, in.readLong(), in.readLong());
             case CONFIRM_ACK -> new ConfirmAck(from, in.readLong(), in.readLong());
-            default -> throw new IOException("no message " + type);
+            default -> throw new IOException("unknown message type " + type);
         };
     }
 }
--- a/src/main/java/gorsemast/store/Replica.java
+++ b/src/main/java/gorsemast/store/Replica.java
@@ -23,66 +23,73 @@
 import java.util.SplittableRandom;
 
 /**
- * The decisions of one member of the store.
+ * The consensus logic of one member of the store.
  *
- * <p><b>Idea.</b> One primary writes to its backups before it answers; the other members are witnesses that keep
- * terms only. A new term is granted by more than half of the members, each of which has its promise on disk before it
- * votes; a voter hands over what it holds, and the elected installs the newest of that at its backups before it
- * acknowledges anything. There are as many backups as losses are to be borne, so of {@code 2f + 1} members any majority
- * meets primary or backups. This is Viewstamped Replication's change of views (Oki and Liskov 1988, Liskov and Cowling
- * 2012) over one register whose highest version holds, with witnesses as in Harp (Liskov et al. 1991); there is no log.
- * Members are exchanged one at a time through a view in which both lists must grant (joint consensus, Ongaro and
- * Ousterhout 2014).
+ * <p>One primary writes to its backups before it answers; the other members are witnesses that keep terms only. A new
+ * term is granted by a majority of the members, each of which has its promise on disk before it votes. A voter reports
+ * the version that it stores, and the elected member installs the newest of these at its backups before it acknowledges
+ * anything. There are as many backups as losses to tolerate, so of {@code 2f + 1} members every majority contains the
+ * primary or a backup. This is the view change of Viewstamped Replication (Oki and Liskov 1988, Liskov and Cowling
+ * 2012) over a single register whose highest version wins, with witnesses as in Harp (Liskov et al. 1991); there is no
+ * log. Members are exchanged one at a time through a view that needs a majority of both lists (joint consensus, Ongaro
+ * and Ousterhout 2014).
  *
- * <p><b>Why two never acknowledge at once.</b> A primary answers only after all its backups have said, in its term,
- * that they hold it. Who wins a later term has the promise of a majority, and so of the primary or of a backup; that
- * one takes no part in the older term any more. What was acknowledged is held by all of primary and backups, so that
- * voter hands it over, or something newer.
+ * <p>Two primaries never acknowledge at the same time. A primary answers only after all its backups have confirmed, in
+ * its term, that they store the version. The winner of a later term has the promises of a majority, which includes the
+ * old primary or one of its backups, and that member takes no further part in the older term. Every acknowledged
+ * version is stored by the primary and all backups, so that voter reports it, or a newer one.
  *
- * <p><b>Threading and time.</b> One caller; times in microseconds of a clock that never goes back. Nothing here does
- * I/O: {@link Output} is told what to send, save and answer, and calls {@link #saved} when a save is on disk, in order.
+ * <p>Not thread-safe: one caller. Times are in microseconds of a monotonic clock. Nothing here does I/O: {@link Output}
+ * sends, saves and answers, and its owner calls {@link #saved} when a save is on disk, in order.
  */
 public final class Replica {
-    /** How often members say that they live. */
-    static final long PING_MICROS = 150_000;
-    /** A primary that was not heard for this long is followed by another: four signs of life. */
-    static final long SILENT_MICROS = Liveness.SILENT_MICROS;
-    /** What an election or an installation may take before it is begun anew; a disk of 5 ms and two ways are 15. */
-    static final long ROUND_MICROS = 400_000;
-    /** Candidates stand back by up to this, so that they seldom meet. */
-    static final long STAND_BACK_MICROS = 250_000;
-    /** For so long after its start a member may tell what it keeps before there is a primary. */
-    static final long EARLY_MICROS = 1_000_000;
+    static final long HEARTBEAT_INTERVAL_MICROS = 150_000;
+    /** A primary that was silent for this long is replaced: four missed heartbeats. */
+    static final long HEARTBEAT_TIMEOUT_MICROS = Liveness.HEARTBEAT_TIMEOUT_MICROS;
+    /** Limit for one election or installation; a disk sync of 5 ms and two message delays make 15 ms. */
+    static final long ELECTION_TIMEOUT_MICROS = 400_000;
+    /** Upper bound of the random delay before a candidacy, which makes split votes rare. */
+    static final long MAX_CANDIDACY_DELAY_MICROS = 250_000;
+    /** For this long after its start a member may serve its stored version before there is a primary. */
+    static final long STARTUP_PERIOD_MICROS = 1_000_000;
     /**
-     * Whose disk has not ended a save for this long leads no more and stands for no term; a backup that has not answered for
-     * as long is passed over. Many times what a sound disk takes, and short enough that with {@link #SILENT_MICROS} and an
-     * election after it an order is still acknowledged in time.
+     * A member whose disk has not finished a save for this long neither leads nor stands for election, and a backup
+     * that has not answered for this long is replaced. Many times what a healthy disk takes, and short enough that an
+     * update is still acknowledged in time after this timeout, {@link #HEARTBEAT_TIMEOUT_MICROS} and an election.
      */
-    static final long SLOW_MICROS = 750_000;
-    /** Within this a candidate waits for votes that would give it better placed backups. */
-    static final long BETTER_MICROS = ROUND_MICROS / 2;
-    /** What is asked and can't be done by then is given up; whoever asked asks somebody else. */
-    static final long CALL_MICROS = 2_500_000;
+    static final long STALL_TIMEOUT_MICROS = 750_000;
+    /** For this long a candidate with a majority waits for votes that would give it better placed backups. */
+    static final long BETTER_BACKUPS_WAIT_MICROS = ELECTION_TIMEOUT_MICROS / 2;
+    /** A call that is not done within this time is given up; the caller retries at another store. */
+    static final long CALL_TIMEOUT_MICROS = 2_500_000;
 
-    /** What it wants done. */
+    /** The effects that a replica asks its owner to carry out. */
     public interface Output {
-        /** Sends a message; it may be lost. */
+        /** Sends a message, which may be lost. */
         void send(Member to, Message message);
 
-        /** Puts this on disk, synced; {@link Replica#saved} is to be called with the token then, in the order of saves. */
-        void save(ReplicaState state, boolean keptToo, long token);
+        /**
+         * Saves the state durably, then calls {@link Replica#saved} with the token, in the order of saves.
+         *
+         * @param storedChanged whether the stored version may differ from the last one saved
+         */
+        void save(ReplicaState state, boolean storedChanged, long token);
 
-        /** The end of a call; with the version that holds, unless nothing is certain. */
-        void complete(long call, CallOutcome outcome, StoredVersion kept);
+        /**
+         * Completes a call.
+         *
+         * @param stored the acknowledged version, or {@link StoredVersion#NONE} where the outcome is uncertain
+         */
+        void complete(long call, CallOutcome outcome, StoredVersion stored);
 
-        /** A configuration that is acknowledged from now on, here as primary. */
-        void committed(StoredVersion kept);
+        /** Reports a version that this primary has acknowledged. */
+        void committed(StoredVersion stored);
 
-        /** A call that only the primary can do, and this is not it. */
+        /** Forwards a call to the primary, as only the primary can serve it. */
         void forward(long call, Member primary);
 
-        /** A sentence for the operator. */
-        void log(String sentence);
+        /** Logs a message for the operator. */
+        void log(String message);
     }
 
     private enum Role {
@@ -92,506 +99,533 @@
         PRIMARY
     }
 
-    private final Output out;
+    private final Output output;
     private final SplittableRandom random;
-    private final long slowMicros;
-    private final Saves saves;
+    private final long stallMicros;
+    private final PendingSaves pendingSaves;
     private final Membership membership;
     private final Liveness liveness;
-    private Member me;
+    private Member self;
     private long promised;
-    /** The highest term that any member has said to have promised; a hint for the next one to ask for. */
-    private long highest;
-    /** In this life of the process it was a member, and has been replaced since: a joint view may need its vote yet. */
+    /** The highest term that any member reported to have promised; a hint for the next term to request. */
+    private long highestPromised;
+    /**
+     * Whether this process was a member and has been replaced since it started: a joint view may still need its vote.
+     */
     private boolean replaced;
 
     private View view;
-    private StoredVersion kept;
+    private StoredVersion stored;
     private Role role = Role.FOLLOWER;
     private long now;
-    private long roundUntil;
-    private long standBackUntil;
-    private long pingAt;
-    private View proposed;
-    private StoredVersion best;
-    private final Set<String> granted = new HashSet<>();
-    private final Set<String> installed = new HashSet<>();
+    private long roundDeadline;
+    private long candidacyNotBefore;
+    private long nextHeartbeatAt;
+    private View proposedView;
+    private StoredVersion newestVoted;
+    private final Set<String> votes = new HashSet<>();
+    private final Set<String> installedAt = new HashSet<>();
 
     private final LeaderHint leader = new LeaderHint();
-    private final EarlyAnswers early = new EarlyAnswers();
-    private final CallQueue orders;
+    private final StartupReads startupReads = new StartupReads();
+    private final CallQueue calls;
 
     /**
-     * A member as its disk has it.
+     * Creates a member from the state on its disk.
      *
-     * @param losses how many disks may be lost at the same time: so many backups
+     * @param losses how many disks may be lost at the same time, which is also the number of backups
      */
-    public Replica(ReplicaState saved, int losses, long seed, Output out) {
-        this(saved, FaultTolerance.ofMachines(losses), Location.UNKNOWN, seed, out);
+    public Replica(ReplicaState saved, int losses, long seed, Output output) {
+        this(saved, FaultTolerance.ofMachines(losses), Location.UNKNOWN, seed, output);
     }
 
     /**
-     * A member as its disk has it.
+     * Creates a member from the state on its disk.
      *
-     * @param tolerance what may be lost at the same time
-     * @param place where its machine stands
+     * @param tolerance the losses to tolerate at the same time
+     * @param location where its machine is
      */
-    public Replica(ReplicaState saved, FaultTolerance tolerance, Location place, long seed, Output out) {
-        this(saved, tolerance, place, seed, SLOW_MICROS, out);
+    public Replica(ReplicaState saved, FaultTolerance tolerance, Location location, long seed, Output output) {
+        this(saved, tolerance, location, seed, STALL_TIMEOUT_MICROS, output);
     }
 
-    /** The same with a bound of its own in place of {@link #SLOW_MICROS}, in microseconds. */
+    /** Creates a member with its own limit, in microseconds, in place of {@link #STALL_TIMEOUT_MICROS}. */
     public Replica(
-            ReplicaState saved, FaultTolerance tolerance, Location place, long seed, long slowMicros, Output out) {
-        this.slowMicros = slowMicros;
-        this.me = saved.self();
+            ReplicaState saved,
+            FaultTolerance tolerance,
+            Location location,
+            long seed,
+            long stallMicros,
+            Output output) {
+        this.stallMicros = stallMicros;
+        this.self = saved.self();
         this.promised = saved.promised();
         this.view = saved.view();
-        this.saves = new Saves(slowMicros, view, () -> pingAt = Math.min(pingAt, now)); // the replaced may wait for it
-        this.kept = saved.stored();
-        this.membership = new Membership(tolerance, place);
+        this.pendingSaves = new PendingSaves(
+                stallMicros,
+                view,
+                () -> nextHeartbeatAt = Math.min(nextHeartbeatAt, now)); // a replaced member may wait for it
+        this.stored = saved.stored();
+        this.membership = new Membership(tolerance, location);
         this.liveness = membership.liveness;
         this.random = new SplittableRandom(seed);
-        this.out = out;
-        this.orders = new CallQueue(out);
+        this.output = output;
+        this.calls = new CallQueue(output);
     }
 
-    /** The first view, before any election. */
+    /** Returns the view before any election. */
     public static View initialView(List<Member> members) {
         return new View(0, "", List.of(), List.copyOf(members), List.of());
     }
 
-    /** Whether it acknowledges now. */
+    /** Returns whether this member acknowledges calls now. */
     public boolean isPrimary() {
         return role == Role.PRIMARY;
     }
 
-    /** The view as it knows it. */
+    /** Returns the latest view that this member knows of. */
     public View view() {
         return view;
     }
 
-    /** All that it knows of, for whoever keeps links to them; one for each address, members of the view first. */
+    /**
+     * Returns the members to keep links to: those of the view first, then others that were heard, one for each address.
+     */
     public List<Member> knownMembers() {
         Map<String, Member> all = new LinkedHashMap<>();
         view.voters().forEach(member -> all.putIfAbsent(member.ip(), member));
-        liveness.others(view).forEach(member -> all.putIfAbsent(member.ip(), member));
+        liveness.nonMembers(view).forEach(member -> all.putIfAbsent(member.ip(), member));
         return new ArrayList<>(all.values());
     }
 
-    /** What it keeps now. */
+    /** Returns the version that this member stores. */
     public StoredVersion stored() {
-        return kept;
+        return stored;
     }
 
     /**
-     * Whether what it keeps may be told to edges without a round: a primary that has acknowledged it, or a member that
-     * has just started, holds what its view's primary vouched for, and has heard in this life from a majority that knows of no
-     * later view. Whoever begins a later term has its view at more than half of the members first, so what a later term
-     * has refused is not told; a start that takes longer than {@link #EARLY_MICROS} waits for an election or a primary.
+     * Returns whether the stored version may be served to edges without a round. That holds for a primary that has
+     * acknowledged it, and for a member that has just started, stores what the primary of its view confirmed, and since
+     * its start has heard from a majority that knows of no later view. A later term begins only once a majority has its
+     * view, so a version that a later term has rejected is never served. A start that takes longer than {@link
+     * #STARTUP_PERIOD_MICROS} waits for an election or a primary.
      */
     public boolean mayServeStored() {
         if (role == Role.PRIMARY) {
-            return kept == orders.agreed();
+            return stored == calls.replicated();
         }
-        boolean holds = kept.term() == view.term(); // primary or backup, and not only told of the view
-        return holds && early.allowed(view, me.id(), now);
+        boolean holds = stored.term() == view.term(); // primary or backup, not a witness that only knows the view
+        return holds && startupReads.areAllowed(view, self.id(), now);
     }
 
     // ---- events
 
-    /** To be called every few tens of milliseconds. */
+    /** Runs the periodic work; call it every few tens of milliseconds. */
     public void tick(long time) {
         now = time;
-        if (early.begin(now)) {
-            standBack();
+        if (startupReads.start(now)) {
+            delayCandidacy();
         }
-        if (now >= pingAt) {
-            pingAt = now + PING_MICROS;
+        if (now >= nextHeartbeatAt) {
+            nextHeartbeatAt = now + HEARTBEAT_INTERVAL_MICROS;
             liveness.forget(view, now);
-            String lacks =
-                    role == Role.PRIMARY && view.previousMembers().isEmpty() ? membership.lacks(view, me, now) : null;
-            if (lacks != null) {
-                out.log(lacks);
+            String shortfall = role == Role.PRIMARY && view.previousMembers().isEmpty()
+                    ? membership.newShortfall(view, self, now)
+                    : null;
+            if (shortfall != null) {
+                output.log(shortfall);
             }
             for (Member other : knownMembers()) {
                 send(other, heartbeat());
             }
         }
-        orders.expireWaiting(now);
-        if (orders.expireWorking(now)) {
-            next();
+        calls.expireWaiting(now);
+        if (calls.expireCurrent(now)) {
+            serveNext();
         }
-        if (!view.isVoter(me.id())) {
+        if (!view.isVoter(self.id())) {
             return;
         }
         switch (role) {
             case FOLLOWER -> {
-                boolean may = !saves.slow(now) && !membership.yields(view, me, now);
-                if (leader.silent(now) && may && now >= standBackUntil && reachesMost()) {
-                    stand(null);
+                boolean mayStand = !pendingSaves.isStalled(now) && !membership.canHandOver(view, self, now);
+                if (leader.timedOut(now) && mayStand && now >= candidacyNotBefore && reachesMajority()) {
+                    startElection(null);
                 }
             }
             case CANDIDATE, INSTALLING -> {
-                if (now > roundUntil) {
+                if (now > roundDeadline) {
                     role = Role.FOLLOWER;
-                    standBack();
+                    delayCandidacy();
                 } else if (role == Role.CANDIDATE) {
-                    elect(promised);
+                    tryWinElection(promised);
                 }
             }
-            case PRIMARY -> lead();
+            case PRIMARY -> superviseMembers();
         }
     }
 
-    /** A sign of life, for whoever has just come. */
+    /** Returns this member's heartbeat, also for a peer that has just connected. */
     public Message heartbeat() {
         return new Heartbeat(
-                me,
+                self,
                 promised,
                 view.term(),
-                saves.settled(),
+                pendingSaves.settledTerm(),
                 role == Role.PRIMARY,
                 membership.leaving(),
-                membership.place());
+                membership.location());
     }
 
-    /** What a primary does for the membership: one change at a time, and none before the last one is over. */
-    private void lead() {
-        if (saves.slow(now)) {
-            out.log("is primary no more: its disk ends nothing");
+    /** Lets a primary change the membership: one change at a time, each after the last one is complete. */
+    private void superviseMembers() {
+        if (pendingSaves.isStalled(now)) {
+            output.log("steps down as primary: its disk does not finish a save");
             role = Role.FOLLOWER;
-            standBack();
-            orders.fail();
+            delayCandidacy();
+            calls.failCurrent();
             return;
         }
-        if (!reachesMost()) {
+        if (!reachesMajority()) {
             return;
         }
-        Membership.Step step = membership.step(view, me, now);
-        if (step == null
-                && orders.slow(view.backups(), slowMicros, now)
-                && !membership.yields(view, me, now)
+        Membership.Action action = membership.nextAction(view, self, now);
+        if (action == null
+                && calls.isStalled(view.backups(), stallMicros, now)
+                && !membership.canHandOver(view, self, now)
                 && view.previousMembers().isEmpty()) {
-            step = new Membership.Step(null, "has a backup of term " + view.term() + " that does not answer");
+            action = new Membership.Action(null, "has a backup of term " + view.term() + " that does not respond");
         }
-        if (step != null) {
-            out.log(step.reason());
-            stand(step.members());
+        if (action != null) {
+            output.log(action.reason());
+            startElection(action.members());
         }
     }
 
     // ---- leaving
 
-    /** Its process was asked to end: others follow it, and it serves on until {@link #mayStop}. */
+    /** Starts leaving, as the process was asked to end; it keeps serving until {@link #mayStop}. */
     public void leave(long time) {
         now = time;
-        membership.leave(now);
-        out.log("leaves as " + role + " of term " + view.term());
+        membership.startLeaving(now);
+        output.log("leaves as " + role + " of term " + view.term());
         for (Member other : knownMembers()) {
-            send(other, new Leave(me));
+            send(other, new Leave(self));
         }
     }
 
     /**
-     * Whether its process may end: it is no member any more; or nobody is there to take its place, and it holds no copy
-     * that is counted on, or has waited {@link Membership#HAND_OVER_MICROS} for others to take over.
+     * Returns whether the process may end: it is no longer a member; or there is no spare to replace it, and it either
+     * holds no copy that is relied on or has waited {@link Membership#HANDOVER_TIMEOUT_MICROS} for another member to
+     * take over.
      */
     public boolean mayStop(long time) {
         now = time;
-        boolean copy = role != Role.FOLLOWER
-                || me.id().equals(view.primary())
-                || view.backups().contains(me.id());
-        return membership.left(view, me, copy, now);
+        boolean holdsCopy = role != Role.FOLLOWER
+                || self.id().equals(view.primary())
+                || view.backups().contains(self.id());
+        return membership.mayStop(view, self, holdsCopy, now);
     }
 
-    /** Another one leaves: if it led, its first backup stands at once, and the others a moment later. */
-    private void leave(Leave leave) {
+    /**
+     * Handles the leaving of another member: if it was the primary, its first backup stands for election at once and
+     * the others a moment later.
+     */
+    private void onLeave(Leave leave) {
         String from = leave.from().id();
-        membership.leaves(from);
+        membership.markLeaving(from);
         if (!view.isVoter(from)) {
-            send(leave.from(), new ViewChange(me, view));
+            send(leave.from(), new ViewChange(self, view));
         } else if (from.equals(leader.primary())) {
             leader.expire();
-            boolean first = !view.backups().isEmpty() && view.backups().get(0).equals(me.id());
-            standBackUntil = now + (first ? 0 : STAND_BACK_MICROS / 5 + random.nextLong(STAND_BACK_MICROS));
+            boolean first = !view.backups().isEmpty() && view.backups().get(0).equals(self.id());
+            candidacyNotBefore =
+                    now + (first ? 0 : MAX_CANDIDACY_DELAY_MICROS / 5 + random.nextLong(MAX_CANDIDACY_DELAY_MICROS));
         }
     }
 
-    private boolean reachesMost() {
-        Set<String> alive = liveness.alive(now);
-        alive.add(me.id());
+    private boolean reachesMajority() {
+        Set<String> alive = liveness.aliveIds(now);
+        alive.add(self.id());
         return view.isMajority(alive);
     }
 
-    private void standBack() {
-        boolean first = me.id().equals(view.primary())
+    private void delayCandidacy() {
+        boolean first = self.id().equals(view.primary())
                 || view.term() == 0
                         && !view.members().isEmpty()
-                        && view.members().get(0).equals(me);
-        standBackUntil = now + (first ? 0 : STAND_BACK_MICROS / 5) + random.nextLong(STAND_BACK_MICROS);
+                        && view.members().get(0).equals(self);
+        candidacyNotBefore =
+                now + (first ? 0 : MAX_CANDIDACY_DELAY_MICROS / 5) + random.nextLong(MAX_CANDIDACY_DELAY_MICROS);
     }
 
-    /** Asks for the next term, with other members where they are given. */
-    private void stand(List<Member> members) {
+    /**
+     * Requests votes for the next term.
+     *
+     * @param members the proposed members; null to keep the current ones
+     */
+    private void startElection(List<Member> members) {
         role = Role.CANDIDATE;
-        roundUntil = now + ROUND_MICROS;
-        promised = Math.max(promised, highest) + 1;
+        roundDeadline = now + ELECTION_TIMEOUT_MICROS;
+        promised = Math.max(promised, highestPromised) + 1;
         long term = promised;
-        out.log("stands for term " + term);
-        granted.clear();
-        best = kept;
-        proposed = members == null
+        output.log("stands for election in term " + term);
+        votes.clear();
+        newestVoted = stored;
+        proposedView = members == null
                 ? view
                 : new View(view.term(), view.primary(), view.backups(), List.copyOf(members), view.members());
         save(false, () -> {
             if (role == Role.CANDIDATE && promised == term) {
-                granted.add(me.id());
+                votes.add(self.id());
                 for (Member member : view.voters()) {
-                    if (!member.equals(me)) {
-                        send(member, new RequestVote(me, term, view.term(), kept.withoutBody()));
+                    if (!member.equals(self)) {
+                        send(member, new RequestVote(self, term, view.term(), stored.withoutBody()));
                     }
                 }
-                elect(term);
+                tryWinElection(term);
             }
         });
     }
 
-    /** A message from another member, or from a machine that asks to be one. */
+    /** Handles a message from another member, or from a machine that asks to become one. */
     public void receive(long time, Message message) {
         now = time;
-        liveness.heard(message.from(), now);
+        liveness.recordHeard(message.from(), now);
         if (message instanceof Heartbeat heartbeat) {
-            heartbeat(heartbeat);
+            onHeartbeat(heartbeat);
         } else if (message instanceof Leave leave) {
-            leave(leave);
+            onLeave(leave);
         } else if (message instanceof RequestVote request) {
-            requestVote(request);
+            onRequestVote(request);
         } else if (message instanceof Vote vote) {
-            vote(vote);
+            onVote(vote);
         } else if (message instanceof VoteRefused refused) {
-            voteRefused(refused);
+            onVoteRefused(refused);
         } else if (message instanceof Install install) {
-            install(install);
+            onInstall(install);
         } else if (message instanceof InstallAck ack) {
-            installAck(ack);
+            onInstallAck(ack);
         } else if (message instanceof ViewChange change) {
-            viewChange(change);
+            onViewChange(change);
         } else if (message instanceof Append append) {
-            append(append);
+            onAppend(append);
         } else if (message instanceof Confirm confirm) {
-            confirm(confirm);
+            onConfirm(confirm);
         } else if (message instanceof AppendAck ack) {
-            acknowledged(ack.from(), ack.term(), ack.round());
+            onAcknowledged(ack.from(), ack.term(), ack.round());
         } else if (message instanceof ConfirmAck ack) {
-            acknowledged(ack.from(), ack.term(), ack.round());
+            onAcknowledged(ack.from(), ack.term(), ack.round());
         }
     }
 
-    private void heartbeat(Heartbeat heartbeat) {
+    private void onHeartbeat(Heartbeat heartbeat) {
         String from = heartbeat.from().id();
-        liveness.told(from, heartbeat.location(), heartbeat.leaving(), heartbeat.settledTerm());
-        early.heard(from, heartbeat.viewTerm(), now);
+        liveness.recordReport(from, heartbeat.location(), heartbeat.leaving(), heartbeat.settledTerm());
+        startupReads.recordViewTerm(from, heartbeat.viewTerm(), now);
         boolean backup = view.backups().contains(from);
-        highest = view.isVoter(from) ? Math.max(highest, heartbeat.promised()) : highest;
+        highestPromised = view.isVoter(from) ? Math.max(highestPromised, heartbeat.promised()) : highestPromised;
         if (role == Role.PRIMARY && heartbeat.viewTerm() > view.term()) {
-            yieldTo(Math.max(promised, heartbeat.viewTerm())); // a later term has begun while this one was not heard
+            promiseTerm(Math.max(promised, heartbeat.viewTerm())); // a later term began while this member was cut off
         }
         if (role == Role.PRIMARY && heartbeat.promised() > view.term() && backup) {
-            // It has promised more than this term and holds nothing in it any more: a later one brings it back.
+            // It has promised a later term and stores nothing in this one any more: an election brings it back.
             promised = Math.max(promised, heartbeat.promised());
-            stand(null);
+            startElection(null);
             return;
         }
         if (heartbeat.primary()
                 && !heartbeat.leaving()
                 && heartbeat.viewTerm() >= view.term()
                 && role != Role.PRIMARY) {
-            leader.heard(from, now);
-            next();
+            leader.recordHeard(from, now);
+            serveNext();
         }
-        boolean old = heartbeat.viewTerm() < view.term();
-        boolean tells = view.isVoter(me.id()) && !(role == Role.PRIMARY && backup);
-        if (tells && (old || heartbeat.leaving() && !view.isVoter(from))) {
-            // Any member does: whoever was away, or joins, may reach this one alone.
-            send(heartbeat.from(), new ViewChange(me, view));
+        boolean outdated = heartbeat.viewTerm() < view.term();
+        boolean informs = view.isVoter(self.id()) && !(role == Role.PRIMARY && backup);
+        if (informs && (outdated || heartbeat.leaving() && !view.isVoter(from))) {
+            // Every member does this: one that was away or joins may reach only this one.
+            send(heartbeat.from(), new ViewChange(self, view));
         }
     }
 
-    private void requestVote(RequestVote request) {
-        if (!view.isVoter(me.id()) && !replaced) {
-            return; // a life that nobody has taken in yet: what stood here before had a vote, this has none
+    private void onRequestVote(RequestVote request) {
+        if (!view.isVoter(self.id()) && !replaced) {
+            return; // not admitted yet: the vote belongs to the earlier disk at this address
         }
         String refusal = refusal(request);
         if (refusal != null) {
-            out.log("grants " + request.from().id() + " no term " + request.term() + ": " + refusal);
-            send(request.from(), new VoteRefused(me, promised, view));
+            output.log("refuses " + request.from().id() + " term " + request.term() + ": " + refusal);
+            send(request.from(), new VoteRefused(self, promised, view));
             return;
         }
-        yieldTo(request.term());
-        boolean knowsMore = request.stored().mergedWith(kept) != request.stored();
-        StoredVersion newer = kept.compareTo(request.stored()) > 0 ? kept : knowsMore ? kept.withoutBody() : null;
+        promiseTerm(request.term());
+        boolean addsHistory = request.stored().mergedWith(stored) != request.stored();
+        StoredVersion newer =
+                stored.compareTo(request.stored()) > 0 ? stored : addsHistory ? stored.withoutBody() : null;
         save(false, () -> {
             if (promised == request.term()) {
-                send(request.from(), new Vote(me, request.term(), newer));
+                send(request.from(), new Vote(self, request.term(), newer));
             }
         });
     }
 
-    /** Why a candidate does not get this member's vote; null where it does. */
+    /** Returns why a candidate does not get this member's vote; null where it does. */
     private String refusal(RequestVote request) {
         String candidate = request.from().id();
         boolean leads = role == Role.PRIMARY
                 && !membership.leaving()
-                && !candidate.equals(me.id())
-                && view.backups().stream().allMatch(id -> liveness.silence(id, now) < SILENT_MICROS);
-        boolean led = leader.ledByOther(candidate, now);
+                && !candidate.equals(self.id())
+                && view.backups().stream().allMatch(id -> liveness.silenceMicros(id, now) < HEARTBEAT_TIMEOUT_MICROS);
+        boolean ledByOther = leader.ledByOther(candidate, now);
         if (!view.isVoter(candidate)) {
-            return "no member";
+            return "not a member";
         }
         if (request.viewTerm() < view.term()) {
-            return "an old view";
+            return "outdated view";
         }
         if (request.term() <= promised) {
-            return "promised " + promised;
+            return "already promised term " + promised;
         }
-        return leads || led ? "term " + view.term() + " is led" : null;
+        return leads || ledByOther ? "term " + view.term() + " has a primary" : null;
     }
 
-    private void vote(Vote vote) {
+    private void onVote(Vote vote) {
         if (role == Role.CANDIDATE && vote.term() == promised) {
-            granted.add(vote.from().id());
-            best = vote.newer() != null ? best.mergedWith(vote.newer()) : best;
-            elect(promised);
+            votes.add(vote.from().id());
+            newestVoted = vote.newer() != null ? newestVoted.mergedWith(vote.newer()) : newestVoted;
+            tryWinElection(promised);
         }
     }
 
-    /** One refusal is none of the others': the round goes on until its time is over, unless it can't be won. */
-    private void voteRefused(VoteRefused refused) {
+    /** Handles a refused vote: the round goes on until its deadline, unless it can't be won any more. */
+    private void onVoteRefused(VoteRefused refused) {
         boolean lost = refused.promised() > promised || refused.view().term() > view.term();
         if (role == Role.CANDIDATE && lost) {
             role = Role.FOLLOWER;
-            standBack();
-            adopt(refused.view());
+            delayCandidacy();
+            adoptView(refused.view());
             promised = Math.max(promised, refused.promised());
             save(false, () -> {});
         }
     }
 
-    private void installAck(InstallAck ack) {
+    private void onInstallAck(InstallAck ack) {
         if (role == Role.INSTALLING && ack.term() == view.term()) {
-            installed.add(ack.from().id());
-            begin();
+            installedAt.add(ack.from().id());
+            tryBeginTerm();
         }
     }
 
-    private void append(Append append) {
+    private void onAppend(Append append) {
         if (promised != append.term() || view.term() != append.term() || role != Role.FOLLOWER) {
             return;
         }
-        StoredVersion merged = kept.mergedWith(append.stored());
-        boolean newer = merged != kept;
-        kept = merged;
+        StoredVersion merged = stored.mergedWith(append.stored());
+        boolean newer = merged != stored;
+        stored = merged;
         save(newer, () -> {
             if (promised == append.term()) {
-                send(append.from(), new AppendAck(me, append.term(), append.round()));
+                send(append.from(), new AppendAck(self, append.term(), append.round()));
             }
         });
     }
 
-    private void confirm(Confirm confirm) {
+    private void onConfirm(Confirm confirm) {
         if (promised == confirm.term() && view.term() == confirm.term()) {
-            send(confirm.from(), new ConfirmAck(me, confirm.term(), confirm.round()));
+            send(confirm.from(), new ConfirmAck(self, confirm.term(), confirm.round()));
         }
     }
 
-    private void acknowledged(Member from, long term, long ofRound) {
-        if (role == Role.PRIMARY && term == view.term() && ofRound == orders.round()) {
-            orders.acknowledged(from.id());
-            finish();
+    private void onAcknowledged(Member from, long term, long round) {
+        if (role == Role.PRIMARY && term == view.term() && round == calls.round()) {
+            calls.recordAcknowledgement(from.id());
+            tryFinishCall();
         }
     }
 
-    /** Promises a later term, which ends whatever this one was about. */
-    private void yieldTo(long term) {
+    /** Promises a later term, which ends this member's role in the current one. */
+    private void promiseTerm(long term) {
         promised = term;
         if (role == Role.PRIMARY) {
-            out.log("is primary no more, for term " + term);
+            output.log("steps down as primary for term " + term);
         }
         if (role != Role.FOLLOWER) {
-            standBack();
+            delayCandidacy();
         }
         role = Role.FOLLOWER;
-        orders.fail();
+        calls.failCurrent();
     }
 
-    private void elect(long term) {
-        if (!view.isMajority(granted)) {
+    private void tryWinElection(long term) {
+        if (!view.isMajority(votes)) {
             return;
         }
-        boolean joint = proposed != view || !view.previousMembers().isEmpty();
-        boolean patient = now < roundUntil - ROUND_MICROS + BETTER_MICROS;
-        List<String> backups = membership.backups(view, proposed.members(), me, granted, patient, now);
+        boolean joint = proposedView != view || !view.previousMembers().isEmpty();
+        boolean mayWait = now < roundDeadline - ELECTION_TIMEOUT_MICROS + BETTER_BACKUPS_WAIT_MICROS;
+        List<String> backups = membership.chooseBackups(view, proposedView.members(), self, votes, mayWait, now);
         if (backups == null) {
-            return; // nobody to hold it beside this one, or nobody yet who should
+            return; // too few backups, or none of the better ones yet
         }
         View next = new View(
                 term,
-                me.id(),
+                self.id(),
                 List.copyOf(backups),
-                proposed.members(),
-                proposed == view ? view.previousMembers() : proposed.previousMembers());
+                proposedView.members(),
+                proposedView == view ? view.previousMembers() : proposedView.previousMembers());
         role = Role.INSTALLING;
-        roundUntil = now + ROUND_MICROS;
-        installed.clear();
+        roundDeadline = now + ELECTION_TIMEOUT_MICROS;
+        installedAt.clear();
         view = next;
-        StoredVersion begins =
-                best.confirmedIn(term); // no stray of a term in between is newer than what this one acknowledges
-        boolean newer = begins != kept;
-        kept = begins;
+        StoredVersion initial =
+                newestVoted.confirmedIn(term); // a version left over from a term in between must not count as newer
+        boolean newer = initial != stored;
+        stored = initial;
         save(newer, () -> {
             if (role == Role.INSTALLING && view == next && promised == term) {
-                installed.add(me.id());
+                installedAt.add(self.id());
                 for (Member member : next.voters()) {
-                    if (!member.equals(me)) {
+                    if (!member.equals(self)) {
                         boolean backup = next.backups().contains(member.id());
-                        send(member, backup || joint ? new Install(me, term, next, kept) : new ViewChange(me, next));
+                        send(
+                                member,
+                                backup || joint ? new Install(self, term, next, stored) : new ViewChange(self, next));
                     }
                 }
-                begin();
+                tryBeginTerm();
             }
         });
     }
 
-    private void install(Install install) {
+    private void onInstall(Install install) {
         if (install.term() < promised || install.term() < view.term()) {
             return;
         }
         if (install.term() > promised || role != Role.FOLLOWER) {
-            yieldTo(install.term());
+            promiseTerm(install.term());
         }
         view = install.view();
-        StoredVersion merged = kept.mergedWith(install.stored());
-        boolean newer = merged != kept;
-        kept = merged;
-        leader.heard(install.from().id(), now);
+        StoredVersion merged = stored.mergedWith(install.stored());
+        boolean newer = merged != stored;
+        stored = merged;
+        leader.recordHeard(install.from().id(), now);
         save(newer, () -> {
             if (promised == install.term()) {
-                send(install.from(), new InstallAck(me, install.term()));
+                send(install.from(), new InstallAck(self, install.term()));
             }
         });
     }
 
-    private void viewChange(ViewChange change) {
-        adopt(change.view());
+    private void onViewChange(ViewChange change) {
+        adoptView(change.view());
         String from = change.from().id();
         if (role == Role.FOLLOWER && view.term() == change.view().term() && from.equals(view.primary())) {
-            leader.heard(from, now); // else a witness would stand against a term that has only just begun
+            leader.recordHeard(from, now); // otherwise a witness would stand against a term that has just begun
         }
     }
 
-    /** A witness, or one that was away, learns who is who. */
-    private void adopt(View newer) {
+    /** Adopts a later view, as a witness or a member that was away does. */
+    private void adoptView(View newer) {
         if (newer != null
                 && role != Role.PRIMARY
                 && role != Role.INSTALLING
@@ -600,10 +634,10 @@
                                 && newer.previousMembers().isEmpty()
                                 && !view.previousMembers().isEmpty())) {
             if (role == Role.CANDIDATE) {
-                role = Role.FOLLOWER; // it was asked for by an older view, and may propose members of before that
-                standBack();
+                role = Role.FOLLOWER; // its candidacy is based on an older view and may propose outdated members
+                delayCandidacy();
             }
-            replaced = (replaced || view.isVoter(me.id())) && !newer.isVoter(me.id());
+            replaced = (replaced || view.isVoter(self.id())) && !newer.isVoter(self.id());
             view = newer;
             promised = Math.max(promised, newer.term());
             save(false, () -> {});
@@ -611,81 +645,81 @@
     }
 
     /**
-     * The term begins once all backups hold what it begins with; where members change, also more than half of the old
-     * and of the new ones, so that no majority is left that goes by the old list alone.
+     * Begins the term once all backups have installed the initial version. Where the members change, a majority of the
+     * old and of the new members must have it too, so that no majority is left that follows the old list alone.
      */
-    private void begin() {
+    private void tryBeginTerm() {
         Set<String> needed = new HashSet<>(view.backups());
-        needed.add(me.id());
+        needed.add(self.id());
         boolean joint = !view.previousMembers().isEmpty();
-        if (role != Role.INSTALLING || !installed.containsAll(needed) || joint && !view.isMajority(installed)) {
+        if (role != Role.INSTALLING || !installedAt.containsAll(needed) || joint && !view.isMajority(installedAt)) {
             return;
         }
         role = Role.PRIMARY;
-        orders.restart(kept);
-        out.log("is primary of term " + view.term() + " with " + view.backups());
-        List<Member> all = view.voters();
+        calls.beginTerm(stored);
+        output.log("is primary of term " + view.term() + " with " + view.backups());
+        List<Member> recipients = view.voters();
         if (joint) {
             view = new View(view.term(), view.primary(), view.backups(), view.members(), List.of());
             save(false, () -> {});
         }
-        for (Member member : all) {
-            if (!member.equals(me)) {
-                send(member, new ViewChange(me, view)); // also to whoever has just lost its place
+        for (Member member : recipients) {
+            if (!member.equals(self)) {
+                send(member, new ViewChange(self, view)); // also to a member that was just replaced
             }
         }
-        pingAt = now;
-        out.committed(kept);
-        next();
+        nextHeartbeatAt = now;
+        output.committed(stored);
+        serveNext();
     }
 
     // ---- calls
 
-    /** Keep this version; answered once. */
+    /** Stores a version; completed exactly once through {@link Output#complete} or {@link Output#forward}. */
     public void put(long time, long call, long version, byte[] body) {
         now = time;
-        take(new CallQueue.Call(call, true, version, body, ContentDigest.of(body), now + CALL_MICROS));
+        accept(new CallQueue.Call(call, true, version, body, ContentDigest.of(body), now + CALL_TIMEOUT_MICROS));
     }
 
-    /** The newest version that is acknowledged; answered once. */
+    /** Reads the newest acknowledged version; completed exactly once, as {@link #put}. */
     public void get(long time, long call) {
         now = time;
-        take(new CallQueue.Call(call, false, 0, null, ContentDigest.NONE, now + CALL_MICROS));
+        accept(new CallQueue.Call(call, false, 0, null, ContentDigest.NONE, now + CALL_TIMEOUT_MICROS));
     }
 
-    private void take(CallQueue.Call call) {
-        if (role == Role.FOLLOWER && leader.ledByOther(me.id(), now)) {
-            out.forward(call.id(), liveness.member(leader.primary()));
+    private void accept(CallQueue.Call call) {
+        if (role == Role.FOLLOWER && leader.ledByOther(self.id(), now)) {
+            output.forward(call.id(), liveness.member(leader.primary()));
             return;
         }
-        if (role != Role.PRIMARY && !reachesMost()) {
-            out.complete(
+        if (role != Role.PRIMARY && !reachesMajority()) {
+            output.complete(
                     call.id(),
                     CallOutcome.UNCERTAIN,
-                    StoredVersion.NONE); // cut off: whoever asks had better ask elsewhere
+                    StoredVersion.NONE); // cut off: the caller should retry at another store
             return;
         }
-        orders.add(call); // also where nobody leads: an election is a matter of a moment
-        next();
+        calls.enqueue(call); // also without a primary: an election is short
+        serveNext();
     }
 
-    private void next() {
-        if (role == Role.FOLLOWER && leader.ledByOther(me.id(), now)) {
-            orders.forward(liveness.member(leader.primary()));
+    private void serveNext() {
+        if (role == Role.FOLLOWER && leader.ledByOther(self.id(), now)) {
+            calls.forward(liveness.member(leader.primary()));
             return;
         }
-        if (role != Role.PRIMARY || !orders.ready()) {
+        if (role != Role.PRIMARY || !calls.hasNext()) {
             return;
         }
-        StoredVersion agreed = orders.agreed();
-        kept = orders.begin(kept, view.term(), now);
-        long mine = orders.round();
-        boolean copies = orders.copies();
-        if (copies) {
+        StoredVersion replicated = calls.replicated();
+        stored = calls.beginRound(stored, view.term(), now);
+        long round = calls.round();
+        boolean replicates = calls.replicates();
+        if (replicates) {
             save(true, () -> {
-                if (role == Role.PRIMARY && orders.round() == mine) {
-                    orders.onDisk();
-                    finish();
+                if (role == Role.PRIMARY && calls.round() == round) {
+                    calls.markOnDisk();
+                    tryFinishCall();
                 }
             });
         }
@@ -693,35 +727,35 @@
             if (view.backups().contains(member.id())) {
                 send(
                         member,
-                        copies
-                                ? new Append(me, view.term(), mine, kept.since(agreed))
-                                : new Confirm(me, view.term(), mine));
+                        replicates
+                                ? new Append(self, view.term(), round, stored.changesSince(replicated))
+                                : new Confirm(self, view.term(), round));
             }
         }
-        finish();
+        tryFinishCall();
     }
 
-    /** A call is done when all that hold what is acknowledged have told so in this term. */
-    private void finish() {
-        if (orders.finish(view.backups(), kept)) {
-            next();
+    /** Completes the current call once the primary and all backups have confirmed it in this term. */
+    private void tryFinishCall() {
+        if (calls.tryFinish(view.backups(), stored)) {
+            serveNext();
         }
     }
 
-    // ---- disk and links
+    // ---- output
 
-    private void save(boolean keptToo, Runnable then) {
-        long token = saves.begin(view, now, then);
-        out.save(new ReplicaState(me, promised, view, kept), keptToo, token);
+    private void save(boolean storedChanged, Runnable then) {
+        long token = pendingSaves.add(view, now, then);
+        output.save(new ReplicaState(self, promised, view, stored), storedChanged, token);
     }
 
-    /** This and all earlier saves are on disk. */
-    public void saved(long time, long which) {
+    /** Reports that this and all earlier saves are on disk. */
+    public void saved(long time, long token) {
         now = time;
-        saves.done(which);
+        pendingSaves.complete(token);
     }
 
     private void send(Member to, Message message) {
-        out.send(to, message);
+        output.send(to, message);
     }
 }
--- a/src/main/java/gorsemast/store/StateWriter.java
+++ b/src/main/java/gorsemast/store/StateWriter.java
@@ -7,92 +7,93 @@
 import java.util.function.LongConsumer;
 
 /**
- * Puts a replica's states on its disk, in order, on a thread that may wait.
+ * Writes a replica's states to its disk, in order, on a thread that may block.
  *
- * <p>While one save is under way, those that come are joined into one: a state is whole, so the last one holds what the
- * others would have held. So at most two states wait however long the disk hangs or is full. A save is told of only once
- * it, or a later one that holds it, is on disk; one that fails is tried again, with what has come since, whatever the
- * failure was. Any thread may save; whoever is told is told on the loop.
+ * <p>Saves that arrive while one is under way are merged into one: a state is complete, so the last one contains the
+ * others. So at most two states wait, however long the disk hangs or is full. A save is reported only once it, or a
+ * later one that contains it, is on disk. A failed save is retried, merged with those that have arrived since, whatever
+ * the failure was. Any thread may save; saves are reported on the loop.
  */
 final class StateWriter {
     private static final Log LOG = new Log("store");
 
-    /** A disk that holds both records. */
+    /** The disk to write to. */
     interface Target {
-        /** Replaces the state, and the configuration unless that is null; throws where it can't. */
+        /** Replaces the state, and the configuration unless that is null; throws if it fails. */
         void save(byte[] state, byte[] configuration);
     }
 
-    private record Batch(ReplicaState state, boolean keptToo, List<Long> tokens) {
-        Batch and(Batch later) {
-            List<Long> both = new ArrayList<>(tokens);
-            both.addAll(later.tokens);
-            return new Batch(later.state, keptToo || later.keptToo, both);
+    private record Batch(ReplicaState state, boolean storedChanged, List<Long> tokens) {
+        Batch mergedWith(Batch later) {
+            List<Long> allTokens = new ArrayList<>(tokens);
+            allTokens.addAll(later.tokens);
+            return new Batch(later.state, storedChanged || later.storedChanged, allTokens);
         }
     }
 
     private final Target disk;
     private final Executor thread;
     private final Executor loop;
-    private final LongConsumer saved;
-    private final Runnable pause;
+    private final LongConsumer onSaved;
+    private final Runnable waitBeforeRetry;
     private Batch waiting;
 
     /**
-     * For one disk.
+     * Creates a writer for one disk.
      *
      * @param thread runs one task at a time
-     * @param saved told of each token on the loop, in order
-     * @param pause waits a little, on the thread, before a save that failed is tried again
+     * @param loop runs the reports
+     * @param onSaved receives each token on the loop, in order
+     * @param waitBeforeRetry waits a little, on the thread, before a failed save is retried
      */
-    StateWriter(Target disk, Executor thread, Executor loop, LongConsumer saved, Runnable pause) {
+    StateWriter(Target disk, Executor thread, Executor loop, LongConsumer onSaved, Runnable waitBeforeRetry) {
         this.disk = disk;
         this.thread = thread;
         this.loop = loop;
-        this.saved = saved;
-        this.pause = pause;
+        this.onSaved = onSaved;
+        this.waitBeforeRetry = waitBeforeRetry;
     }
 
-    /** Saves a state; {@code keptToo} where the configuration may differ from the last one saved. */
-    void save(ReplicaState state, boolean keptToo, long token) {
-        Batch one = new Batch(state, keptToo, List.of(token));
+    /** Saves a state; {@code storedChanged} where the stored version may differ from the last one saved. */
+    void save(ReplicaState state, boolean storedChanged, long token) {
+        Batch added = new Batch(state, storedChanged, List.of(token));
         synchronized (this) {
             if (waiting != null) {
-                waiting = waiting.and(one);
+                waiting = waiting.mergedWith(added);
                 return;
             }
-            waiting = one;
+            waiting = added;
         }
         thread.execute(this::write);
     }
 
-    private synchronized Batch take() {
+    private synchronized Batch takeWaiting() {
         Batch taken = waiting;
         waiting = null;
         return taken;
     }
 
     private void write() {
-        Batch batch = take();
+        Batch batch = takeWaiting();
         if (batch == null) {
-            return; // joined to one before
+            return; // merged into an earlier batch
         }
-        while (!written(batch)) {
-            pause.run();
-            Batch more = take();
-            batch = more == null ? batch : batch.and(more);
+        while (!tryWrite(batch)) {
+            waitBeforeRetry.run();
+            Batch later = takeWaiting();
+            batch = later == null ? batch : batch.mergedWith(later);
         }
         List<Long> tokens = batch.tokens;
-        loop.execute(() -> tokens.forEach(saved::accept));
+        loop.execute(() -> tokens.forEach(onSaved::accept));
     }
 
-    private boolean written(Batch batch) {
+    private boolean tryWrite(Batch batch) {
         try {
-            disk.save(batch.state.encodeState(), batch.keptToo ? batch.state.encodeConfiguration() : null);
+            disk.save(batch.state.encodeState(), batch.storedChanged ? batch.state.encodeConfiguration() : null);
             return true;
         } catch (RuntimeException | Error e) {
-            // Whatever it was: later saves must not count while this one is not there.
-            LOG.warn("can't write, tries again: " + e);
+            // Whatever the failure was, later saves must not count while this one is not on disk.
+            LOG.warn("can't write the state, retrying: " + e);
             return false;
         }
     }
--- a/src/main/java/gorsemast/store/StoreNode.java
+++ b/src/main/java/gorsemast/store/StoreNode.java
@@ -15,31 +15,38 @@
 import java.util.function.LongSupplier;
 
 /**
- * Everything that a store decides: its {@link Replica}, whose call each of the keeper's calls is, and who is passed on to
- * the primary. No I/O, no clock of its own, no threads; one caller; times in microseconds.
+ * The logic of a store process: its {@link Replica}, the calls that wait for it, and the forwarding of calls to the
+ * primary. No I/O, no clock of its own, no threads. Not thread-safe; times are in microseconds.
  */
 public final class StoreNode implements Replica.Output {
-    /** To be called so often. */
+    /** The interval at which {@link #tick} has to be called. */
     public static final long TICK_MICROS = 25_000;
-    /** Longer than any call may take here or at the store that it is passed on to. */
-    private static final long ASKED_MICROS = 6_000_000;
+    /** Longer than a call may take here or at the store that it was forwarded to. */
+    private static final long PENDING_CALL_TIMEOUT_MICROS = 6_000_000;
 
     private static final Log LOG = new Log("store");
 
-    /** Puts a state on disk, synced, and has {@link StoreNode#saved} called then, in the order of saves. */
+    /** Saves a state durably and then calls {@link StoreNode#saved}, in the order of saves. */
     public interface Saver {
-        /** @param keptToo whether the configuration may differ from the last one saved */
-        void save(ReplicaState state, boolean keptToo, long token);
+        /** @param storedChanged whether the stored version may differ from the last one saved */
+        void save(ReplicaState state, boolean storedChanged, long token);
     }
 
-    /** Who waits for a call's answer: a registry, or a store that passed it on. */
-    private record Asker(
-            Neighbour from, long call, boolean put, long version, byte[] body, long known, long knownTerm, long until) {
-        /** The body that goes with an answer: that of a put, where it is what holds. */
-        byte[] body(CallOutcome outcome, ContentDigest holds, byte[] told) {
-            boolean same =
-                    put && outcome == CallOutcome.DONE && ContentDigest.of(body).equals(holds);
-            return same ? body : told;
+    /** A call and its requester: a registry, or a store that forwarded it. */
+    private record PendingCall(
+            Neighbour requester,
+            long call,
+            boolean put,
+            long version,
+            byte[] body,
+            long knownVersion,
+            long knownTerm,
+            long deadline) {
+        /** Returns the body for an answer: that of a put, where it is the acknowledged one. */
+        byte[] body(CallOutcome outcome, ContentDigest acknowledged, byte[] readBody) {
+            boolean acknowledgedHere =
+                    put && outcome == CallOutcome.DONE && ContentDigest.of(body).equals(acknowledged);
+            return acknowledgedHere ? body : readBody;
         }
     }
 
@@ -47,46 +54,48 @@
     private final LongSupplier clock;
     private final Neighbours neighbours;
     private final Saver saver;
-    private final Replica keeper;
-    private final Map<Long, Asker> askers = new HashMap<>();
+    private final Replica replica;
+    private final Map<Long, PendingCall> pendingCalls = new HashMap<>();
     private final Set<String> seeds;
-    /** Views by token that are on their way to the disk, and the last one that is on it. */
-    private final Map<Long, View> saving = new HashMap<>();
+    /** Views by the token of their save, until that is on disk. */
+    private final Map<Long, View> viewsBeingSaved = new HashMap<>();
+
+    /** The last view that is on disk. */
+    private View savedView;
 
-    private View view;
     private long lastCall;
-    /** Whether the registry of this machine was told what is kept since it came up. */
-    private boolean told = true;
+    /** Whether the registry on this machine was sent the stored version since it connected. */
+    private boolean storedSent = true;
 
     /**
-     * Of one process, from its start on.
+     * Creates the node of a process that has just started.
      *
-     * @param saved what its disk has, or had drawn for an empty one
-     * @param tolerance what may be lost at the same time; one machine at the least
-     * @param place where its machine stands
+     * @param saved the state on its disk, or the initial one for an empty disk
+     * @param tolerance the losses to tolerate at the same time; at least one machine
+     * @param location where its machine is
      */
     public StoreNode(
             String ip,
             Set<String> seeds,
             ReplicaState saved,
             FaultTolerance tolerance,
-            Location place,
+            Location location,
             long seed,
             LongSupplier clock,
             Neighbours neighbours,
             Saver saver) {
-        this(ip, seeds, saved, tolerance, place, seed, Replica.SLOW_MICROS, clock, neighbours, saver);
+        this(ip, seeds, saved, tolerance, location, seed, Replica.STALL_TIMEOUT_MICROS, clock, neighbours, saver);
     }
 
-    /** The same with a bound of its own, in microseconds, for disks that end nothing. */
+    /** Creates a node with its own limit, in microseconds, after which a disk counts as stalled. */
     public StoreNode(
             String ip,
             Set<String> seeds,
             ReplicaState saved,
             FaultTolerance tolerance,
-            Location place,
+            Location location,
             long seed,
-            long slowMicros,
+            long stallMicros,
             LongSupplier clock,
             Neighbours neighbours,
             Saver saver) {
@@ -95,66 +104,71 @@
         this.clock = clock;
         this.neighbours = neighbours;
         this.saver = saver;
-        this.view = saved.view();
-        FaultTolerance borne =
+        this.savedView = saved.view();
+        FaultTolerance effectiveTolerance =
                 new FaultTolerance(Math.max(1, tolerance.machines()), tolerance.zones(), tolerance.regions());
-        this.keeper = new Replica(saved, borne, place, seed, slowMicros, this);
+        this.replica = new Replica(saved, effectiveTolerance, location, seed, stallMicros, this);
     }
 
-    /** The first word on each of its links. */
+    /** Returns the first message on each of its links. */
     public static PeerMessage.Hello hello(String ip, String zone) {
         return new PeerMessage.Hello(Program.STORE, ip, zone, "", 0);
     }
 
-    /** What it keeps, and whether it leads. */
+    /** Returns the replica, for its stored version and whether it is primary. */
     public Replica replica() {
-        return keeper;
+        return replica;
     }
 
-    /** Another list of core machines, in place of the last one: members are known by the view. */
-    public void replaceSeeds(Set<String> others) {
+    /** Replaces the list of core machines to connect to; the members are defined by the view. */
+    public void replaceSeeds(Set<String> addresses) {
         seeds.clear();
-        seeds.addAll(others);
+        seeds.addAll(addresses);
     }
 
-    /** The process is asked to end. */
+    /** Starts leaving, as the process was asked to end. */
     public void leave() {
-        keeper.leave(clock.getAsLong());
+        replica.leave(clock.getAsLong());
     }
 
-    /** Whether it may end now, after {@link #leave}. */
+    /** Returns whether the process may end, after {@link #leave}. */
     public boolean mayStop() {
-        return keeper.mayStop(clock.getAsLong());
+        return replica.mayStop(clock.getAsLong());
     }
 
-    /** Addresses of the machines whose stores it wants links to. */
+    /** Returns the addresses of the machines whose stores it wants links to. */
     public Set<String> peerAddresses() {
-        Set<String> wanted = new LinkedHashSet<>(seeds);
-        keeper.knownMembers().forEach(member -> wanted.add(member.ip()));
-        wanted.remove(ip);
-        return wanted;
+        Set<String> addresses = new LinkedHashSet<>(seeds);
+        replica.knownMembers().forEach(member -> addresses.add(member.ip()));
+        addresses.remove(ip);
+        return addresses;
     }
 
-    /** To be called each {@link #TICK_MICROS}. */
+    /** Runs the periodic work; call it each {@link #TICK_MICROS}. */
     public void tick() {
         long now = clock.getAsLong();
-        keeper.tick(now);
-        tellEarly();
-        askers.values().removeIf(asker -> now > asker.until); // whoever it was passed on to did not answer
+        replica.tick(now);
+        sendStoredAtStartup();
+        pendingCalls
+                .values()
+                .removeIf(pending -> now > pending.deadline); // the store that it was forwarded to did not answer
     }
 
-    /** A save is on disk, and all before it. */
+    /** Reports that this and all earlier saves are on disk. */
     public void saved(long token) {
-        keeper.saved(clock.getAsLong(), token);
-        tellMembers(saving.remove(token));
+        replica.saved(clock.getAsLong(), token);
+        sendMembers(viewsBeingSaved.remove(token));
     }
 
-    /** The registry on this machine counts by the view that is on disk, which no later life of this store falls behind. */
-    private void tellMembers(View saved) {
-        if (saved == null || saved.equals(view)) {
+    /**
+     * Sends the members to the registry on this machine once their view is on disk, so that no restart of this store
+     * falls behind what the registry counts by.
+     */
+    private void sendMembers(View saved) {
+        if (saved == null || saved.equals(savedView)) {
             return;
         }
-        view = saved;
+        savedView = saved;
         Neighbour registry = neighbours.find(Program.REGISTRY, ip);
         if (registry != null) {
             registry.send(members());
@@ -162,72 +176,82 @@
     }
 
     private PeerMessage.Members members() {
-        return new PeerMessage.Members(view.term(), ips(view.members()), ips(view.previousMembers()));
+        return new PeerMessage.Members(savedView.term(), ips(savedView.members()), ips(savedView.previousMembers()));
     }
 
     private static List<String> ips(List<Member> members) {
         return members.stream().map(Member::ip).toList();
     }
 
-    // ---- neighbours
+    // ---- peers
 
-    /** A process has come into reach. */
-    public void up(Neighbour one) {
-        if (one.hello().program() == Program.STORE) {
-            one.send(new PeerMessage.StoreMessage(keeper.heartbeat()));
-        } else if (one.hello().ip().equals(ip)) {
-            one.send(members());
-            told = false;
-            tellEarly();
+    /** Handles a peer process that has become reachable. */
+    public void up(Neighbour peer) {
+        if (peer.hello().program() == Program.STORE) {
+            peer.send(new PeerMessage.StoreMessage(replica.heartbeat()));
+        } else if (peer.hello().ip().equals(ip)) {
+            peer.send(members());
+            storedSent = false;
+            sendStoredAtStartup();
         }
     }
 
-    /** Edges that start have something at once, whatever an election takes. */
-    private void tellEarly() {
-        if (!told && keeper.mayServeStored()) {
-            told = true;
-            committed(keeper.stored());
+    /** Sends the stored version to a starting registry, so that edges needn't wait for an election. */
+    private void sendStoredAtStartup() {
+        if (!storedSent && replica.mayServeStored()) {
+            storedSent = true;
+            committed(replica.stored());
         }
     }
 
-    /** It is reached no more. */
-    public void down(Neighbour one) {
-        askers.values().removeIf(asker -> asker.from == one);
+    /** Handles a peer process that is no longer reachable. */
+    public void down(Neighbour peer) {
+        pendingCalls.values().removeIf(pending -> pending.requester == peer);
     }
 
-    /** It has said something. */
-    public void received(Neighbour one, PeerMessage record) {
+    /** Handles a message from a peer. */
+    public void received(Neighbour peer, PeerMessage message) {
         long now = clock.getAsLong();
-        if (record instanceof PeerMessage.StoreMessage between) {
-            keeper.receive(now, between.message());
-        } else if (record instanceof PeerMessage.Put put) {
+        if (message instanceof PeerMessage.StoreMessage storeMessage) {
+            replica.receive(now, storeMessage.message());
+        } else if (message instanceof PeerMessage.Put put) {
             long call = ++lastCall;
-            askers.put(call, new Asker(one, put.callId(), true, put.version(), put.body(), 0, 0, now + ASKED_MICROS));
-            keeper.put(now, call, put.version(), put.body());
-        } else if (record instanceof PeerMessage.Get get) {
+            pendingCalls.put(
+                    call,
+                    new PendingCall(
+                            peer,
+                            put.callId(),
+                            true,
+                            put.version(),
+                            put.body(),
+                            0,
+                            0,
+                            now + PENDING_CALL_TIMEOUT_MICROS));
+            replica.put(now, call, put.version(), put.body());
+        } else if (message instanceof PeerMessage.Get get) {
             long call = ++lastCall;
-            askers.put(
+            pendingCalls.put(
                     call,
-                    new Asker(
-                            one,
+                    new PendingCall(
+                            peer,
                             get.callId(),
                             false,
                             0,
                             null,
                             get.knownVersion(),
                             get.knownTerm(),
-                            now + ASKED_MICROS));
-            keeper.get(now, call);
-        } else if (record instanceof PeerMessage.StoreAnswer answer) {
-            Asker asker = askers.remove(answer.callId());
-            if (asker != null) {
-                asker.from.send(
-                        answer.forCall(asker.call, asker.body(answer.outcome(), answer.digest(), answer.body())));
+                            now + PENDING_CALL_TIMEOUT_MICROS));
+            replica.get(now, call);
+        } else if (message instanceof PeerMessage.StoreAnswer answer) {
+            PendingCall pending = pendingCalls.remove(answer.callId());
+            if (pending != null) {
+                pending.requester.send(
+                        answer.forCall(pending.call, pending.body(answer.outcome(), answer.digest(), answer.body())));
             }
         }
     }
 
-    // ---- what the keeper wants done
+    // ---- output of the replica
 
     @Override
     public void send(Member member, Message message) {
@@ -238,53 +262,54 @@
     }
 
     @Override
-    public void save(ReplicaState state, boolean keptToo, long token) {
-        saving.put(token, state.view());
-        saver.save(state, keptToo, token);
+    public void save(ReplicaState state, boolean storedChanged, long token) {
+        viewsBeingSaved.put(token, state.view());
+        saver.save(state, storedChanged, token);
     }
 
     @Override
-    public void complete(long call, CallOutcome outcome, StoredVersion kept) {
-        Asker asker = askers.remove(call);
-        if (asker != null) {
-            boolean known = kept.version() == asker.known && kept.term() == asker.knownTerm;
-            boolean reads = !asker.put && outcome == CallOutcome.DONE && !known;
-            byte[] told = reads ? kept.body() : null;
-            boolean near = asker.from.hello().program() == Program.REGISTRY; // a store gives its own registry the body
-            byte[] body = near ? asker.body(outcome, kept.digest(), told) : told;
-            asker.from.send(
-                    new PeerMessage.StoreAnswer(asker.call, outcome, kept.version(), kept.term(), kept.digest(), body));
+    public void complete(long call, CallOutcome outcome, StoredVersion stored) {
+        PendingCall pending = pendingCalls.remove(call);
+        if (pending != null) {
+            boolean upToDate = stored.version() == pending.knownVersion && stored.term() == pending.knownTerm;
+            boolean sendsBody = !pending.put && outcome == CallOutcome.DONE && !upToDate;
+            byte[] readBody = sendsBody ? stored.body() : null;
+            boolean fromRegistry = pending.requester.hello().program()
+                    == Program.REGISTRY; // a store adds the body for its own registry
+            byte[] body = fromRegistry ? pending.body(outcome, stored.digest(), readBody) : readBody;
+            pending.requester.send(new PeerMessage.StoreAnswer(
+                    pending.call, outcome, stored.version(), stored.term(), stored.digest(), body));
         }
     }
 
     @Override
     public void forward(long call, Member primary) {
-        Asker asker = askers.get(call);
-        if (asker == null) {
+        PendingCall pending = pendingCalls.get(call);
+        if (pending == null) {
             return;
         }
         Neighbour store = neighbours.find(Program.STORE, primary.ip());
         if (store == null) {
             complete(call, CallOutcome.UNCERTAIN, StoredVersion.NONE);
-        } else if (asker.put) {
-            store.send(new PeerMessage.Put(call, asker.version, asker.body));
+        } else if (pending.put) {
+            store.send(new PeerMessage.Put(call, pending.version, pending.body));
         } else {
-            store.send(new PeerMessage.Get(call, asker.known, asker.knownTerm));
+            store.send(new PeerMessage.Get(call, pending.knownVersion, pending.knownTerm));
         }
     }
 
     @Override
-    public void committed(StoredVersion kept) {
-        if (kept.version() > 0) {
-            for (Neighbour one : neighbours.connected(Program.REGISTRY)) {
-                one.send(new PeerMessage.StoreAnswer(
-                        0, CallOutcome.DONE, kept.version(), kept.term(), kept.digest(), kept.body()));
+    public void committed(StoredVersion stored) {
+        if (stored.version() > 0) {
+            for (Neighbour peer : neighbours.connected(Program.REGISTRY)) {
+                peer.send(new PeerMessage.StoreAnswer(
+                        0, CallOutcome.DONE, stored.version(), stored.term(), stored.digest(), stored.body()));
             }
         }
     }
 
     @Override
-    public void log(String sentence) {
-        LOG.info(sentence);
+    public void log(String message) {
+        LOG.info(message);
     }
 }
--- a/src/main/java/gorsemast/store/StoreProgram.java
+++ b/src/main/java/gorsemast/store/StoreProgram.java
@@ -23,32 +23,32 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The store's program round its {@link StoreNode}: links to the other stores and from registries on one event loop, and the
- * disk on a thread of its own that may wait.
+ * The store process around its {@link StoreNode}: links to the other stores and from registries on one event loop, and
+ * the disk on a thread of its own that may block.
  */
 public final class StoreProgram implements Daemon, Link.Receiver {
-    private static final long DISK_AGAIN_MILLIS = 100;
-    /** Where the settings name no {@code grace}. */
-    private static final long GRACE_MICROS = 6_000_000;
-    /** Of it, what may be waited; the rest is for the disk and the end itself. */
-    private static final double GRACE_PART = 0.75;
+    private static final long DISK_RETRY_MILLIS = 100;
+    /** Used where the settings have no {@code grace}. */
+    private static final long DEFAULT_GRACE_MICROS = 6_000_000;
+    /** The share of the grace period that may be spent waiting; the rest is for the disk and for closing. */
+    private static final double HANDOVER_SHARE_OF_GRACE = 0.75;
 
     private static final Log LOG = new Log("store");
 
     private final Settings settings;
     private final EventLoop loop;
-    private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
+    private final ExecutorService diskExecutor = Executors.newSingleThreadExecutor(task -> {
         Thread thread = new Thread(task, "disk");
         thread.setDaemon(true);
         return thread;
     });
-    private final long origin = System.nanoTime();
+    private final long clockStart = System.nanoTime();
     private final Links links;
-    private StoreNode teller;
-    /** Set once the process is asked to end, and opened when it may; the loop's. */
-    private CountDownLatch left;
+    private StoreNode node;
+    /** Set once the process is asked to end and released when it may; used on the loop only. */
+    private CountDownLatch mayStop;
 
-    /** By the platform's settings; nothing begins yet. */
+    /** Creates the process from the platform's settings without starting anything. */
     public StoreProgram(Settings settings) {
         this.settings = settings;
         this.loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
@@ -56,7 +56,7 @@
     }
 
     private long now() {
-        return (System.nanoTime() - origin) / 1_000;
+        return (System.nanoTime() - clockStart) / 1_000;
     }
 
     @Override
@@ -65,13 +65,13 @@
             throw new IOException("dataDir: the store needs a disk");
         }
         if (!settings.configMode().equals(Settings.HIGHEST)) {
-            LOG.warn("configMode: keeps the highest version, not \"" + settings.configMode() + '"');
+            LOG.warn("configMode: stores the highest version, not \"" + settings.configMode() + '"');
         }
         Disk disk = Disk.open(settings.dataDir(), RandomSeed.next());
         ReplicaState saved = recover(disk);
-        StateWriter states =
-                new StateWriter(disk::save, writer, this::onLoop, token -> teller.saved(token), StoreProgram::pause);
-        teller = new StoreNode(
+        StateWriter states = new StateWriter(
+                disk::save, diskExecutor, this::onLoop, token -> node.saved(token), StoreProgram::pauseBeforeRetry);
+        node = new StoreNode(
                 settings.ip(),
                 settings.seedIps(),
                 saved,
@@ -90,12 +90,12 @@
         Disk.Saved records = disk.load();
         if (records != null) {
             ReplicaState saved = ReplicaState.decode(records.state(), records.configuration());
-            LOG.info("has version " + Long.toHexString(saved.stored().version()) + " of term "
-                    + saved.stored().term() + ", promised " + saved.promised());
+            LOG.info("starts with version " + Long.toHexString(saved.stored().version()) + " of term "
+                    + saved.stored().term() + ", promised term " + saved.promised());
             return saved;
         }
         if (!settings.firstBoot()) {
-            LOG.warn("has an empty disk and asks to be taken in");
+            LOG.warn("has an empty disk and asks to become a member");
         }
         ReplicaState fresh =
                 ReplicaState.initial(settings.ip(), settings.seedIps(), settings.firstBoot(), RandomSeed.next());
@@ -106,31 +106,31 @@
     @Override
     public void reload(Settings changed) {
         loop.execute(() -> {
-            teller.replaceSeeds(changed.seedIps());
-            dial();
+            node.replaceSeeds(changed.seedIps());
+            updateLinks();
         });
     }
 
-    /** Ends once another member has its place, or nobody is there to take it; shortly before the platform's patience ends. */
+    /** Returns once a successor has taken over or there is none, at the latest shortly before the grace period ends. */
     @Override
     public void stop() {
-        long grace = (long) (GRACE_PART * settings.time("grace", GRACE_MICROS));
-        CountDownLatch over = new CountDownLatch(1);
+        long grace = (long) (HANDOVER_SHARE_OF_GRACE * settings.time("grace", DEFAULT_GRACE_MICROS));
+        CountDownLatch released = new CountDownLatch(1);
         loop.execute(() -> {
-            teller.leave();
-            left = over;
+            node.leave();
+            mayStop = released;
         });
         try {
-            if (!over.await(grace, TimeUnit.MICROSECONDS)) {
-                LOG.warn("ends without a successor: grace is over");
+            if (!released.await(grace, TimeUnit.MICROSECONDS)) {
+                LOG.warn("stops without a successor: the grace period is over");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        writer.shutdown();
+        diskExecutor.shutdown();
         try {
-            if (!writer.awaitTermination(1, TimeUnit.SECONDS)) {
-                LOG.warn("ends with a save under way");
+            if (!diskExecutor.awaitTermination(1, TimeUnit.SECONDS)) {
+                LOG.warn("stops with a save under way");
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -140,56 +140,56 @@
     @Override
     public void close() {
         Daemon.shutDown(loop);
-        Daemon.shutDown(writer);
+        Daemon.shutDown(diskExecutor);
     }
 
     private void tick() {
         try {
-            teller.tick();
-            dial();
-            if (left != null && teller.mayStop()) {
-                left.countDown();
+            node.tick();
+            updateLinks();
+            if (mayStop != null && node.mayStop()) {
+                mayStop.countDown();
             }
         } catch (RuntimeException e) {
             LOG.internalError(e);
         }
     }
 
-    private void dial() {
-        Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-        teller.peerAddresses().forEach(ip -> wanted.add(Ports.STORE.address(settings, ip)));
-        links.setTargets(wanted);
+    private void updateLinks() {
+        Set<InetSocketAddress> peers = new LinkedHashSet<>();
+        node.peerAddresses().forEach(ip -> peers.add(Ports.STORE.address(settings, ip)));
+        links.setTargets(peers);
     }
 
     // ---- links
 
     @Override
-    public void connected(Neighbour one) {
-        teller.up(one);
+    public void connected(Neighbour peer) {
+        node.up(peer);
     }
 
     @Override
-    public void disconnected(Neighbour one) {
-        teller.down(one);
+    public void disconnected(Neighbour peer) {
+        node.down(peer);
     }
 
     @Override
-    public void received(Neighbour one, PeerMessage record) {
-        teller.received(one, record);
+    public void received(Neighbour peer, PeerMessage message) {
+        node.received(peer, message);
     }
 
-    // ---- the disk
+    // ---- disk
 
-    /** Runs a task on the loop, unless that is being closed. */
+    /** Runs a task on the loop, unless that is shutting down. */
     private void onLoop(Runnable task) {
         if (!loop.isShuttingDown()) {
             loop.execute(task);
         }
     }
 
-    private static void pause() {
+    private static void pauseBeforeRetry() {
         try {
-            TimeUnit.MILLISECONDS.sleep(DISK_AGAIN_MILLIS); // on the disk's own thread, which has nothing else to do
+            TimeUnit.MILLISECONDS.sleep(DISK_RETRY_MILLIS); // on the disk's own thread, which has no other work
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
