--- a/src/main/java/gorsemast/store/StoredVersion.java
+++ b/src/main/java/gorsemast/store/StoredVersion.java
@@ -6,16 +6,16 @@
 import java.io.IOException;
 
 /**
- * A configuration as a member keeps it, and the numbers that are taken, its own among them.
+ * A configuration version as a member stores it, with the history of taken version numbers, its own among them.
  *
  * @param version 0 for none
- * @param term that vouches for it: in which it was taken, or of the primary that last began with it; of two with the same
- *             version the later one holds, as the earlier was never acknowledged
- * @param body not to be written to
+ * @param term the term that confirms it: the one in which it was stored, or that of the last primary that began with
+ *     it; of two entries with the same version the later term wins, as the earlier was never acknowledged
+ * @param body not to be modified
  */
 public record StoredVersion(long version, long term, byte[] body, VersionHistory history)
         implements Comparable<StoredVersion> {
-    /** Nothing yet. */
+    /** No version. */
     public static final StoredVersion NONE = new StoredVersion(0, 0, new byte[0], VersionHistory.NONE);
 
     @Override
@@ -23,46 +23,46 @@
         return version != other.version ? Long.compare(version, other.version) : Long.compare(term, other.term);
     }
 
-    /** The digest of its content. */
+    /** Returns the digest of the content. */
     public ContentDigest digest() {
-        ContentDigest known = history.digest(version);
-        return known == null ? ContentDigest.NONE : known;
+        ContentDigest digest = history.digest(version);
+        return digest == null ? ContentDigest.NONE : digest;
     }
 
-    /** A higher version in this one's place. */
-    StoredVersion next(long higher, long ofTerm, byte[] content, ContentDigest digest) {
+    /** Returns a higher version that replaces this one. */
+    StoredVersion successor(long higher, long ofTerm, byte[] content, ContentDigest digest) {
         return new StoredVersion(higher, ofTerm, content, history.with(higher, ofTerm, digest));
     }
 
-    /** The same, with a lower number taken: nothing else changes. */
-    StoredVersion taking(long lower, long ofTerm, ContentDigest digest) {
+    /** Returns this version with a lower number marked as taken. */
+    StoredVersion withTaken(long lower, long ofTerm, ContentDigest digest) {
         return new StoredVersion(version, term, body, history.with(lower, ofTerm, digest));
     }
 
-    /** The newer of both, with the numbers of both; this one itself where the other adds nothing. */
+    /** Returns the newer of both, with the history of both; this one itself where the other adds nothing. */
     StoredVersion mergedWith(StoredVersion other) {
-        VersionHistory all = history.merge(other.history);
+        VersionHistory merged = history.mergedWith(other.history);
         boolean newer = other.compareTo(this) > 0;
-        if (!newer && all == history) {
+        if (!newer && merged == history) {
             return this;
         }
-        StoredVersion held = newer ? other : this;
-        return new StoredVersion(held.version, held.term, held.body, all);
+        StoredVersion newest = newer ? other : this;
+        return new StoredVersion(newest.version, newest.term, newest.body, merged);
     }
 
-    /** The same, vouched for by a term. */
+    /** Returns this version as confirmed by a term. */
     StoredVersion confirmedIn(long ofTerm) {
-        return history.size() == 0 ? this : new StoredVersion(version, ofTerm, body, history.in(ofTerm));
+        return history.size() == 0 ? this : new StoredVersion(version, ofTerm, body, history.confirmedIn(ofTerm));
     }
 
-    /** The same without its content, for whoever only compares. */
+    /** Returns this version without its content, for comparison only. */
     StoredVersion withoutBody() {
         return new StoredVersion(version, term, new byte[0], history);
     }
 
-    /** The same with only those numbers that the other lacks. */
-    StoredVersion since(StoredVersion other) {
-        return new StoredVersion(version, term, body, history.since(other.history));
+    /** Returns this version with only those history entries that the other lacks. */
+    StoredVersion changesSince(StoredVersion other) {
+        return new StoredVersion(version, term, body, history.changesSince(other.history));
     }
 
     void write(DataOutputStream out) throws IOException {
@@ -74,25 +74,27 @@
     }
 
     static StoredVersion read(DataInputStream in) throws IOException {
-        StoredVersion bare = bare(in);
-        return new StoredVersion(bare.version, bare.term, bare.body, VersionHistory.read(in));
+        StoredVersion partial = readWithoutHistory(in);
+        return new StoredVersion(partial.version, partial.term, partial.body, VersionHistory.read(in));
     }
 
-    /** From a disk; an earlier program wrote no numbers, and of those its own is taken. */
-    static StoredVersion recorded(DataInputStream in) throws IOException {
-        StoredVersion bare = bare(in);
+    /** Reads the record on disk; an earlier release wrote no history, so its version becomes the only entry. */
+    static StoredVersion readFromDisk(DataInputStream in) throws IOException {
+        StoredVersion partial = readWithoutHistory(in);
         if (in.available() > 0) {
-            return new StoredVersion(bare.version, bare.term, bare.body, VersionHistory.read(in));
+            return new StoredVersion(partial.version, partial.term, partial.body, VersionHistory.read(in));
         }
-        return bare.version == 0 ? NONE : NONE.next(bare.version, bare.term, bare.body, ContentDigest.of(bare.body));
+        return partial.version == 0
+                ? NONE
+                : NONE.successor(partial.version, partial.term, partial.body, ContentDigest.of(partial.body));
     }
 
-    private static StoredVersion bare(DataInputStream in) throws IOException {
+    private static StoredVersion readWithoutHistory(DataInputStream in) throws IOException {
         long version = in.readLong();
         long term = in.readLong();
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("a configuration of " + length + " bytes");
+            throw new IOException("invalid configuration length " + length);
         }
         byte[] body = new byte[length];
         in.readFully(body);
--- a/src/main/java/gorsemast/store/VersionHistory.java
+++ b/src/main/java/gorsemast/store/VersionHistory.java
@@ -8,55 +8,55 @@
 import java.util.List;
 
 /**
- * Which content has which number: the highest {@link #MAX_ENTRIES} numbers that were taken, each with the term that vouches for
- * it and the digest of its content. Of two contents under a number the later term's holds.
+ * The history of version numbers: the highest {@link #MAX_ENTRIES} numbers that were taken, each with the term that
+ * confirms it and the digest of its content. Where two contents have the same number, that of the later term wins.
  *
- * <p><b>Merging</b> is idempotent, commutative and associative: the union by number, the later term first, cut to the
- * highest numbers. A number that has been cut off is as one that was never taken. 32 bytes an entry: 16 KiB on a disk and
- * in an installation at most; an append carries only the entries since the last one. Immutable; any thread.
+ * <p>Merging is idempotent, commutative and associative: the union by number, the later term first, cut to the highest
+ * numbers. A number that was cut off counts as never taken. An entry has 32 bytes, so a disk record or an installation
+ * carries at most 16 KiB; an append carries only the entries since the last one. Immutable.
  */
 public final class VersionHistory {
-    /** So many numbers are remembered. */
+    /** How many version numbers are remembered. */
     public static final int MAX_ENTRIES = 512;
-    /** No number yet. */
+    /** The empty history. */
     public static final VersionHistory NONE = new VersionHistory(List.of());
 
-    /** A number that is taken: by whose term, and by which content. */
+    /** A taken version number with its term and the digest of its content. */
     public record Entry(long version, long term, ContentDigest digest) {}
 
-    /** Lowest number first. */
+    /** Ordered by version, lowest first. */
     private final List<Entry> entries;
 
     private VersionHistory(List<Entry> entries) {
         this.entries = entries;
     }
 
-    /** The content that has a number; null for none that is known. */
-    public ContentDigest digest(long number) {
-        int at = find(number);
-        return at < 0 ? null : entries.get(at).digest;
+    /** Returns the digest of the content with this number; null for none that is known. */
+    public ContentDigest digest(long version) {
+        int index = find(version);
+        return index < 0 ? null : entries.get(index).digest;
     }
 
-    /** How many are remembered. */
+    /** Returns the number of remembered entries. */
     public int size() {
         return entries.size();
     }
 
-    /** Whether a number is too low to be remembered beside those that are. */
-    boolean forgets(long number) {
-        return entries.size() >= MAX_ENTRIES && number < entries.get(0).version;
+    /** Returns whether a number is too low to be remembered beside the others. */
+    boolean isForgotten(long version) {
+        return entries.size() >= MAX_ENTRIES && version < entries.get(0).version;
     }
 
-    private int find(long number) {
+    private int find(long version) {
         int low = 0;
         int high = entries.size() - 1;
         while (low <= high) {
             int middle = (low + high) >>> 1;
             long found = entries.get(middle).version;
-            if (found == number) {
+            if (found == version) {
                 return middle;
             }
-            if (found < number) {
+            if (found < version) {
                 low = middle + 1;
             } else {
                 high = middle - 1;
@@ -65,69 +65,70 @@
         return -1;
     }
 
-    /** With one more. */
-    VersionHistory with(long number, long term, ContentDigest digest) {
-        return merge(new VersionHistory(List.of(new Entry(number, term, digest))));
+    /** Returns the history with one more entry. */
+    VersionHistory with(long version, long term, ContentDigest digest) {
+        return mergedWith(new VersionHistory(List.of(new Entry(version, term, digest))));
     }
 
-    /** Both together; this one itself where the other adds nothing. */
-    VersionHistory merge(VersionHistory other) {
-        List<Entry> all = new ArrayList<>(entries.size() + other.entries.size());
-        int mine = 0;
-        int theirs = 0;
-        while (mine < entries.size() || theirs < other.entries.size()) {
-            Entry a = mine < entries.size() ? entries.get(mine) : null;
-            Entry b = theirs < other.entries.size() ? other.entries.get(theirs) : null;
-            int order = a == null ? 1 : b == null ? -1 : Long.compare(a.version, b.version);
-            boolean takes = order > 0 || order == 0 && b.term > a.term;
-            all.add(takes ? b : a);
-            mine += order <= 0 ? 1 : 0;
-            theirs += order >= 0 ? 1 : 0;
+    /** Returns the union of both; this one itself where the other adds nothing. */
+    VersionHistory mergedWith(VersionHistory other) {
+        List<Entry> merged = new ArrayList<>(entries.size() + other.entries.size());
+        int ownIndex = 0;
+        int otherIndex = 0;
+        while (ownIndex < entries.size() || otherIndex < other.entries.size()) {
+            Entry ownEntry = ownIndex < entries.size() ? entries.get(ownIndex) : null;
+            Entry otherEntry = otherIndex < other.entries.size() ? other.entries.get(otherIndex) : null;
+            int order =
+                    ownEntry == null ? 1 : otherEntry == null ? -1 : Long.compare(ownEntry.version, otherEntry.version);
+            boolean takesOther = order > 0 || order == 0 && otherEntry.term > ownEntry.term;
+            merged.add(takesOther ? otherEntry : ownEntry);
+            ownIndex += order <= 0 ? 1 : 0;
+            otherIndex += order >= 0 ? 1 : 0;
         }
-        List<Entry> highest = all.subList(Math.max(0, all.size() - MAX_ENTRIES), all.size());
+        List<Entry> highest = merged.subList(Math.max(0, merged.size() - MAX_ENTRIES), merged.size());
         return highest.equals(entries) ? this : new VersionHistory(List.copyOf(highest));
     }
 
-    /** The same, vouched for by a term: what its primary begins with. */
-    VersionHistory in(long term) {
+    /** Returns the same entries as confirmed by a term, with which its primary begins. */
+    VersionHistory confirmedIn(long term) {
         return new VersionHistory(entries.stream()
-                .map(one -> new Entry(one.version, term, one.digest))
+                .map(entry -> new Entry(entry.version, term, entry.digest))
                 .toList());
     }
 
-    /** Those that the other lacks or has of an earlier term: what merged with the other makes this one. */
-    VersionHistory since(VersionHistory other) {
+    /** Returns the entries that the other lacks or has of an earlier term; merged with the other they make this one. */
+    VersionHistory changesSince(VersionHistory other) {
         return new VersionHistory(entries.stream()
-                .filter(one -> {
-                    int at = other.find(one.version);
-                    return at < 0 || other.entries.get(at).term < one.term;
+                .filter(entry -> {
+                    int index = other.find(entry.version);
+                    return index < 0 || other.entries.get(index).term < entry.term;
                 })
                 .toList());
     }
 
     void write(DataOutputStream out) throws IOException {
         out.writeInt(entries.size());
-        for (Entry one : entries) {
-            out.writeLong(one.version);
-            out.writeLong(one.term);
-            one.digest.write(out);
+        for (Entry entry : entries) {
+            out.writeLong(entry.version);
+            out.writeLong(entry.term);
+            entry.digest.write(out);
         }
     }
 
     static VersionHistory read(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new IOException(count + " numbers");
+            throw new IOException("invalid number of history entries " + count);
         }
         List<Entry> entries = new ArrayList<>(count);
         long last = -1;
         for (int i = 0; i < count; i++) {
-            Entry one = new Entry(in.readLong(), in.readLong(), ContentDigest.read(in));
-            if (one.version <= last) {
-                throw new IOException("numbers out of order");
+            Entry entry = new Entry(in.readLong(), in.readLong(), ContentDigest.read(in));
+            if (entry.version <= last) {
+                throw new IOException("history entries out of order");
             }
-            last = one.version;
-            entries.add(one);
+            last = entry.version;
+            entries.add(entry);
         }
         return new VersionHistory(List.copyOf(entries));
     }
--- a/src/main/java/gorsemast/store/View.java
+++ b/src/main/java/gorsemast/store/View.java
@@ -7,34 +7,34 @@
 import java.util.List;
 
 /**
- * Who does what from one term on.
+ * The roles of the members from one term on. A view is joint while it still has {@code previousMembers}.
  *
- * @param term never two with the same
- * @param primary the id of the one that acknowledges; empty before the first
- * @param backups ids of those that hold all that is acknowledged, before it is
+ * @param term unique to one view, except that a joint view and its completed form share it
+ * @param primary the id of the member that acknowledges; empty before the first election
+ * @param backups ids of the members that store every version before it is acknowledged
  * @param members who may vote; those that are neither primary nor backup are witnesses
- * @param previousMembers who could vote until this one's members have taken over; empty where they have
+ * @param previousMembers who could vote before, until the new members have taken over; else empty
  */
 public record View(
         long term, String primary, List<String> backups, List<Member> members, List<Member> previousMembers) {
-    private static final int MOST = 64;
+    private static final int MAX_MEMBERS = 64;
 
-    /** Whether these ids are more than half of the members, and of those before them. */
+    /** Returns whether these ids are a majority of the members and, in a joint view, of the previous members. */
     boolean isMajority(java.util.Collection<String> ids) {
-        return most(members, ids) && (previousMembers.isEmpty() || most(previousMembers, ids));
+        return isMajorityOf(members, ids) && (previousMembers.isEmpty() || isMajorityOf(previousMembers, ids));
     }
 
-    private static boolean most(List<Member> of, java.util.Collection<String> ids) {
+    private static boolean isMajorityOf(List<Member> of, java.util.Collection<String> ids) {
         return 2 * of.stream().filter(member -> ids.contains(member.id())).count() > of.size();
     }
 
-    /** Whether it may vote. */
+    /** Returns whether this member may vote. */
     public boolean isVoter(String id) {
         return members.stream().anyMatch(m -> m.id().equals(id))
                 || previousMembers.stream().anyMatch(m -> m.id().equals(id));
     }
 
-    /** All that may vote. */
+    /** Returns all members that may vote. */
     List<Member> voters() {
         List<Member> all = new ArrayList<>(members);
         previousMembers.stream().filter(member -> !all.contains(member)).forEach(all::add);
@@ -60,13 +60,13 @@
         long term = in.readLong();
         String primary = in.readUTF();
         List<String> backups = new ArrayList<>();
-        for (int i = count(in); i > 0; i--) {
+        for (int i = readCount(in); i > 0; i--) {
             backups.add(in.readUTF());
         }
         List<List<Member>> lists = new ArrayList<>();
         for (int l = 0; l < 2; l++) {
             List<Member> list = new ArrayList<>();
-            for (int i = count(in); i > 0; i--) {
+            for (int i = readCount(in); i > 0; i--) {
                 list.add(Member.read(in));
             }
             lists.add(list);
@@ -74,10 +74,10 @@
         return new View(term, primary, List.copyOf(backups), List.copyOf(lists.get(0)), List.copyOf(lists.get(1)));
     }
 
-    private static int count(DataInputStream in) throws IOException {
+    private static int readCount(DataInputStream in) throws IOException {
         int count = in.readUnsignedByte();
-        if (count > MOST) {
-            throw new IOException(count + " members");
+        if (count > MAX_MEMBERS) {
+            throw new IOException("invalid member count " + count);
         }
         return count;
     }
--- a/src/main/java/gorsemast/store/package-info.java
+++ b/src/main/java/gorsemast/store/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The store of the operator's configuration: who of its members may acknowledge, and what outlives them. The decisions
- * ({@link gorsemast.store.Replica}) have no I/O, no clock and no threads; {@code Store} is the program round them.
+ * The replicated store of the operator's configuration. The consensus logic ({@link gorsemast.store.Replica}) has no
+ * I/O, no clock and no threads; {@link gorsemast.store.StoreProgram} is the process around it.
  */
 package gorsemast.store;
--- a/src/test/java/gorsemast/store/MembershipPlannerTest.java
+++ b/src/test/java/gorsemast/store/MembershipPlannerTest.java
@@ -49,32 +49,32 @@
 
     @Test
     void aFourthMachineIsASpareWhileThreeAreWell() {
-        assertThat(machines.change(member("m1#0"), well("zzz"), List.of(well("s#1", "z"))))
+        assertThat(machines.planChange(member("m1#0"), well("zzz"), List.of(well("s#1", "z"))))
                 .isNull();
-        assertThat(machines.members()).isEqualTo(3);
+        assertThat(machines.targetMemberCount()).isEqualTo(3);
     }
 
     @Test
     void itTakesThePlaceOfOneThatLeavesAtOnceAndOfASilentOneLater() {
         Member me = member("m1#0");
         List<Candidate> spare = List.of(well("s#1", "z"));
-        assertThat(names(machines.change(me, List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0")), spare)))
+        assertThat(names(machines.planChange(me, List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0")), spare)))
                 .isEqualTo("m1 m2 s");
         List<Candidate> short1 = List.of(well("m1#0", "z"), silent("m2#0", SECOND), well("m3#0", "z"));
-        assertThat(machines.change(me, short1, spare)).isNull();
-        List<Candidate> gone =
-                List.of(well("m1#0", "z"), silent("m2#0", MembershipPlanner.GONE_MICROS + 1), well("m3#0", "z"));
-        assertThat(names(machines.change(me, gone, spare))).isEqualTo("m1 s m3");
+        assertThat(machines.planChange(me, short1, spare)).isNull();
+        List<Candidate> gone = List.of(
+                well("m1#0", "z"), silent("m2#0", MembershipPlanner.REPLACE_AFTER_MICROS + 1), well("m3#0", "z"));
+        assertThat(names(machines.planChange(me, gone, spare))).isEqualTo("m1 s m3");
     }
 
     @Test
     void theMachineOfALostDiskTakesItsOwnPlaceBeforeASpareDoes() {
         List<Candidate> members = List.of(well("m1#0", "z"), silent("m2#0", 2 * SECOND), well("m3#0", "z"));
         List<Candidate> others = List.of(well("a#1", "z"), well("m2#7", "z"));
-        assertThat(machines.change(member("m1#0"), members, others)).contains(member("m2#7"));
+        assertThat(machines.planChange(member("m1#0"), members, others)).contains(member("m2#7"));
         // The life before, not heard any more, never takes it back.
         List<Candidate> back = List.of(well("m1#0", "z"), well("m2#7", "z"), well("m3#0", "z"));
-        assertThat(machines.change(member("m1#0"), back, List.of(silent("m2#0", SECOND / 2))))
+        assertThat(machines.planChange(member("m1#0"), back, List.of(silent("m2#0", SECOND / 2))))
                 .isNull();
     }
 
@@ -82,14 +82,14 @@
     void onlyMachinesWhoseLossCountsAndThatStayAreTakenIn() {
         List<Candidate> members = List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0"));
         Candidate uncounted = new Candidate(member("s#1"), 0, false, new Location("z", "r", false));
-        assertThat(machines.change(member("m1#0"), members, List.of(uncounted, leaves("t#1"))))
+        assertThat(machines.planChange(member("m1#0"), members, List.of(uncounted, leaves("t#1"))))
                 .isNull();
     }
 
     @Test
     void thePrimaryNeverReplacesItself() {
         List<Candidate> members = List.of(leaves("m1#0"), well("m2#0", "z"), well("m3#0", "z"));
-        assertThat(machines.change(member("m1#0"), members, List.of(well("s#1", "z"))))
+        assertThat(machines.planChange(member("m1#0"), members, List.of(well("s#1", "z"))))
                 .isNull();
     }
 
@@ -97,7 +97,7 @@
     @CsvSource({"1, 3, 1", "1, 4, 1", "1, 5, 2", "2, 3, 2", "2, 4, 2", "2, 5, 2", "1, 1, 0"})
     void everyMajorityMeetsACopy(int losses, int members, int backups) {
         MembershipPlanner planner = new MembershipPlanner(FaultTolerance.ofMachines(losses));
-        assertThat(planner.backups(members)).isEqualTo(backups);
+        assertThat(planner.backupCount(members)).isEqualTo(backups);
         int majority = members / 2 + 1;
         assertThat(1 + backups + majority).isGreaterThan(members);
     }
@@ -106,19 +106,19 @@
     void membersGrowOneAtATimeWhileAllAreWell() {
         MembershipPlanner two = new MembershipPlanner(FaultTolerance.ofMachines(2));
         List<Candidate> spares = List.of(well("s#1", "z"), well("t#1", "z"));
-        assertThat(names(two.change(member("m1#0"), well("zzz"), spares))).isEqualTo("m1 m2 m3 s");
+        assertThat(names(two.planChange(member("m1#0"), well("zzz"), spares))).isEqualTo("m1 m2 m3 s");
         List<Candidate> one = List.of(well("m1#0", "z"), silent("m2#0", SECOND), well("m3#0", "z"));
-        assertThat(two.change(member("m1#0"), one, spares)).isNull();
+        assertThat(two.planChange(member("m1#0"), one, spares)).isNull();
     }
 
     @Test
     void membersMoveToOtherZonesUntilOneMayGo() {
         List<Candidate> members = well("aab");
-        assertThat(names(zones.change(member("m1#0"), members, List.of(well("s#1", "a"), well("t#1", "c")))))
+        assertThat(names(zones.planChange(member("m1#0"), members, List.of(well("s#1", "a"), well("t#1", "c")))))
                 .isEqualTo("m1 t m3");
-        assertThat(zones.change(member("m1#0"), well("abc"), List.of(well("s#1", "a"))))
+        assertThat(zones.planChange(member("m1#0"), well("abc"), List.of(well("s#1", "a"))))
                 .isNull();
-        assertThat(machines.change(member("m1#0"), members, List.of(well("t#1", "c"))))
+        assertThat(machines.planChange(member("m1#0"), members, List.of(well("t#1", "c"))))
                 .isNull();
     }
 
@@ -126,18 +126,20 @@
     void aCopyStandsInAnotherZone() {
         List<Candidate> members = well("aab");
         Set<String> able = Set.of("m2#0", "m3#0");
-        assertThat(zones.backups("m1#0", members, able, List.of("m2#0"))).containsExactly("m3#0");
-        assertThat(machines.backups("m1#0", members, able, List.of("m2#0"))).containsExactly("m2#0");
-        assertThat(zones.sound("m1#0", members, List.of("m2#0"))).isFalse();
-        assertThat(zones.sound("m1#0", members, List.of("m3#0"))).isTrue();
+        assertThat(zones.chooseBackups("m1#0", members, able, List.of("m2#0"))).containsExactly("m3#0");
+        assertThat(machines.chooseBackups("m1#0", members, able, List.of("m2#0")))
+                .containsExactly("m2#0");
+        assertThat(zones.areSound("m1#0", members, List.of("m2#0"))).isFalse();
+        assertThat(zones.areSound("m1#0", members, List.of("m3#0"))).isTrue();
     }
 
     @Test
     void oneThatLeavesHoldsACopyOnlyWhereNobodyElseCan() {
         List<Candidate> members = List.of(well("m1#0", "z"), leaves("m2#0"), well("m3#0", "z"));
-        assertThat(machines.backups("m1#0", members, Set.of("m2#0", "m3#0"), List.of("m2#0")))
+        assertThat(machines.chooseBackups("m1#0", members, Set.of("m2#0", "m3#0"), List.of("m2#0")))
                 .containsExactly("m3#0");
-        assertThat(machines.backups("m1#0", members, Set.of("m2#0"), List.of())).containsExactly("m2#0");
+        assertThat(machines.chooseBackups("m1#0", members, Set.of("m2#0"), List.of()))
+                .containsExactly("m2#0");
     }
 
     @Test
@@ -146,25 +148,25 @@
         List<Member> members = List.of(member("m1#0"), member("m2#0"), member("m3#0"));
         View view = new View(1, "m1#0", List.of("m2#0"), members, List.of());
         for (Member other : members.subList(1, 3)) {
-            membership.liveness.heard(other, SECOND);
-            membership.liveness.told(other.id(), new Location("a", "r", true), false, 1);
+            membership.liveness.recordHeard(other, SECOND);
+            membership.liveness.recordReport(other.id(), new Location("a", "r", true), false, 1);
         }
-        assertThat(membership.lacks(view, members.get(0), SECOND)).contains("do not keep a majority");
-        assertThat(membership.lacks(view, members.get(0), SECOND)).isNull();
+        assertThat(membership.newShortfall(view, members.get(0), SECOND)).contains("do not keep a majority");
+        assertThat(membership.newShortfall(view, members.get(0), SECOND)).isNull();
     }
 
     @Test
     void whoIsInNoViewIsForgottenAndNoMoreThanSomeAreRemembered() {
         Liveness liveness = new Liveness();
         View view = Replica.initialView(List.of(member("m1#0")));
-        for (int i = 0; i < 3 * Liveness.MOST_OTHERS; i++) {
-            liveness.heard(member("x" + i + "#1"), i);
+        for (int i = 0; i < 3 * Liveness.MAX_NON_MEMBERS; i++) {
+            liveness.recordHeard(member("x" + i + "#1"), i);
         }
-        liveness.heard(member("m1#0"), 0);
+        liveness.recordHeard(member("m1#0"), 0);
         liveness.forget(view, 200);
-        assertThat(liveness.others(view)).hasSize(Liveness.MOST_OTHERS);
+        assertThat(liveness.nonMembers(view)).hasSize(Liveness.MAX_NON_MEMBERS);
         liveness.forget(view, 200 + Liveness.FORGET_MICROS);
-        assertThat(liveness.others(view)).isEmpty();
+        assertThat(liveness.nonMembers(view)).isEmpty();
         assertThat(liveness.member("m1#0").ip()).isEqualTo("m1");
     }
 }
--- a/src/test/java/gorsemast/store/TakenNumbersTest.java
+++ b/src/test/java/gorsemast/store/TakenNumbersTest.java
@@ -43,12 +43,14 @@
             VersionHistory a = drawn(random, 600);
             VersionHistory b = drawn(random, 600);
             VersionHistory c = drawn(random, 600);
-            byte[] one = written(a.merge(b).merge(c));
-            assertThat(written(c.merge(a.merge(b)))).isEqualTo(one);
-            assertThat(written(b.merge(c).merge(a))).isEqualTo(one);
-            VersionHistory both = a.merge(b);
-            assertThat(both.merge(b)).as("nothing new").isSameAs(both);
-            assertThat(written(a.merge(both.since(a)))).as("only what lacks").isEqualTo(written(both));
+            byte[] one = written(a.mergedWith(b).mergedWith(c));
+            assertThat(written(c.mergedWith(a.mergedWith(b)))).isEqualTo(one);
+            assertThat(written(b.mergedWith(c).mergedWith(a))).isEqualTo(one);
+            VersionHistory both = a.mergedWith(b);
+            assertThat(both.mergedWith(b)).as("nothing new").isSameAs(both);
+            assertThat(written(a.mergedWith(both.changesSince(a))))
+                    .as("only what lacks")
+                    .isEqualTo(written(both));
         }
     }
 
@@ -62,20 +64,21 @@
         }
         assertThat(numbers.size()).isEqualTo(VersionHistory.MAX_ENTRIES);
         assertThat(numbers.digest(7)).isNull();
-        assertThat(numbers.forgets(7)).isTrue();
-        assertThat(numbers.forgets(100 + VersionHistory.MAX_ENTRIES)).isFalse();
+        assertThat(numbers.isForgotten(7)).isTrue();
+        assertThat(numbers.isForgotten(100 + VersionHistory.MAX_ENTRIES)).isFalse();
     }
 
     @Test
     void whatIsWrittenIsReadAndWhatAnEarlierProgramWroteToo() throws IOException {
         byte[] body = "body".getBytes(StandardCharsets.UTF_8);
-        StoredVersion kept = StoredVersion.NONE.next(3, 1, body, ContentDigest.of(body));
+        StoredVersion kept = StoredVersion.NONE.successor(3, 1, body, ContentDigest.of(body));
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         kept.write(new DataOutputStream(bytes));
-        StoredVersion read = StoredVersion.recorded(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())));
+        StoredVersion read =
+                StoredVersion.readFromDisk(new DataInputStream(new ByteArrayInputStream(bytes.toByteArray())));
         assertThat(read.digest()).isEqualTo(ContentDigest.of(body));
         byte[] earlier = java.util.Arrays.copyOf(bytes.toByteArray(), 2 * Long.BYTES + Integer.BYTES + body.length);
-        StoredVersion old = StoredVersion.recorded(new DataInputStream(new ByteArrayInputStream(earlier)));
+        StoredVersion old = StoredVersion.readFromDisk(new DataInputStream(new ByteArrayInputStream(earlier)));
         assertThat(old.digest()).isEqualTo(ContentDigest.of(body));
         assertThat(old.version()).isEqualTo(3);
     }
