--- a/src/main/java/gorsemast/store/MembershipPlanner.java
+++ b/src/main/java/gorsemast/store/MembershipPlanner.java
@@ -160,8 +160,8 @@
                 && distinct(copies, Location::region) > tolerance.regions();
     }
 
-    private static long distinct(Collection<Location> places, Function<Location, String> domain) {
-        return places.stream().map(domain).distinct().count();
+    private static long distinct(Collection<Location> locations, Function<Location, String> domain) {
+        return locations.stream().map(domain).distinct().count();
     }
 
     /** Returns the largest number of members that one tolerated loss takes away. */
--- a/src/main/java/gorsemast/store/StoredVersion.java
+++ b/src/main/java/gorsemast/store/StoredVersion.java
@@ -94,7 +94,7 @@
         long term = in.readLong();
         int length = in.readInt();
         if (length < 0 || length > in.available()) {
-            throw new IOException("invalid configuration length " + length);
+            throw new IOException("invalid configuration length of " + length + " bytes");
         }
         byte[] body = new byte[length];
         in.readFully(body);
--- a/src/main/java/gorsemast/store/VersionHistory.java
+++ b/src/main/java/gorsemast/store/VersionHistory.java
@@ -118,7 +118,7 @@
     static VersionHistory read(DataInputStream in) throws IOException {
         int count = in.readInt();
         if (count < 0 || count > MAX_ENTRIES) {
-            throw new IOException("invalid number of history entries " + count);
+            throw new IOException(count + " history entries, out of range");
         }
         List<Entry> entries = new ArrayList<>(count);
         long last = -1;
--- a/src/main/java/gorsemast/store/View.java
+++ b/src/main/java/gorsemast/store/View.java
@@ -77,7 +77,7 @@
     private static int readCount(DataInputStream in) throws IOException {
         int count = in.readUnsignedByte();
         if (count > MAX_MEMBERS) {
-            throw new IOException("invalid member count " + count);
+            throw new IOException(count + " members, above the limit");
         }
         return count;
     }
--- a/src/test/java/gorsemast/storage/DiskTest.java
+++ b/src/test/java/gorsemast/storage/DiskTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import gorsemast.storage.LossyFolder.Defect;
+import gorsemast.storage.LossyDirectory.Defect;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A save is there wholly or not at all, and what has returned is there, whatever power or a process's end leaves. */
+/** A save is present completely or not at all, and a completed one always, whatever a power loss or a kill leaves. */
 class DiskTest {
     private static final int SEEDS = 4_000;
 
@@ -37,96 +37,96 @@
     }
 
     @Test
-    void powerLostInAnyOperationLeavesTheLastSaveOrTheOneUnderWay() {
+    void aPowerLossInAnyOperationLeavesTheLastSaveOrTheOneInProgress() {
         for (int seed = 0; seed < SEEDS; seed++) {
-            assertThat(lost(seed, Defect.NONE)).as("seed " + seed).isNull();
+            assertThat(firstLoss(seed, Defect.NONE)).as("seed " + seed).isNull();
         }
     }
 
     @ParameterizedTest
     @EnumSource(value = Defect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void plantedDefectsAreFound(Defect defect) {
+    void injectedDefectsAreFound(Defect defect) {
         boolean found = false;
         for (int seed = 0; seed < SEEDS && !found; seed++) {
-            found = lost(seed, defect) != null;
+            found = firstLoss(seed, defect) != null;
         }
         assertThat(found).isTrue();
     }
 
-    /** Plays lives that end in the middle of something; says what was lost, or null. */
-    private static String lost(long seed, Defect defect) {
+    /** Runs processes that end in the middle of an operation; returns what was lost, or null. */
+    private static String firstLoss(long seed, Defect defect) {
         SplittableRandom random = new SplittableRandom(seed);
-        LossyFolder folder = new LossyFolder(seed, defect);
-        String held = "nothing";
-        String underWay = held;
+        LossyDirectory directory = new LossyDirectory(seed, defect);
+        String saved = "nothing";
+        String inProgress = saved;
         String configuration = "";
         int number = 0;
-        for (int life = 0; life < 6; life++) {
-            folder.loseAfter(1 + random.nextInt(14));
+        for (int process = 0; process < 6; process++) {
+            directory.loseAfter(1 + random.nextInt(14));
             try {
-                Disk disk = new Disk(folder, defect == Defect.LIVES_ALIKE ? 1 : random.nextLong());
+                Disk disk = new Disk(directory, defect == Defect.SAME_INCARNATION ? 1 : random.nextLong());
                 String found = text(disk.load());
-                if (!found.equals(held) && !found.equals(underWay)) {
-                    return found + " is found after " + held + " was saved";
+                if (!found.equals(saved) && !found.equals(inProgress)) {
+                    return found + " is found after " + saved + " was saved";
                 }
-                held = found;
-                underWay = held;
-                configuration = held.substring(held.indexOf('/') + 1);
+                saved = found;
+                inProgress = saved;
+                configuration = saved.substring(saved.indexOf('/') + 1);
                 while (true) {
-                    boolean both = held.equals("nothing") || random.nextBoolean();
+                    boolean both = saved.equals("nothing") || random.nextBoolean();
                     configuration = both ? "c" + ++number + "x".repeat(random.nextInt(40)) : configuration;
                     String state = "s" + ++number;
-                    underWay = state + "/" + configuration;
+                    inProgress = state + "/" + configuration;
                     disk.save(bytes(state), both ? bytes(configuration) : null);
-                    held = underWay;
+                    saved = inProgress;
                 }
             } catch (DiskException | IOException e) {
                 if (random.nextInt(3) > 0) {
-                    folder.powerLost();
-                } // else the process is killed, and what it wrote is there, synced or not
+                    directory.powerLost();
+                } // otherwise the process is killed, and what it wrote is there, synced or not
             }
         }
         return null;
     }
 
     @Test
-    void aFullDiskKeepsWhatItHasAndTakesTheNextSaveOnceItCan() throws IOException {
-        LossyFolder folder = new LossyFolder(1, Defect.NONE);
-        Disk disk = new Disk(folder, 1);
+    void aFullDiskKeepsItsContentAndTakesTheNextSaveOnceItHasSpace() throws IOException {
+        LossyDirectory directory = new LossyDirectory(1, Defect.NONE);
+        Disk disk = new Disk(directory, 1);
         disk.save(bytes("s1"), bytes("c1"));
-        folder.full = true;
+        directory.full = true;
         assertThatThrownBy(() -> disk.save(bytes("s2"), bytes("c2"))).isInstanceOf(DiskException.class);
-        assertThat(text(new Disk(folder, 1).load())).isEqualTo("s1/c1");
-        folder.full = false;
+        assertThat(text(new Disk(directory, 1).load())).isEqualTo("s1/c1");
+        directory.full = false;
         disk.save(bytes("s3"), bytes("c3"));
-        assertThat(text(new Disk(folder, 1).load())).isEqualTo("s3/c3");
+        assertThat(text(new Disk(directory, 1).load())).isEqualTo("s3/c3");
     }
 
-    /** On a real disk: the newest file of each kind, cut at every byte and with every byte changed. */
+    /** On a real file system: the newest file of each kind, truncated at every byte and with every byte changed. */
     @Test
-    void aFileThatIsCutOrChangedAnywhereCountsAsNothingAndTheRecordBeforeHolds() throws IOException {
+    void aTruncatedOrCorruptedFileIsIgnoredAndThePreviousRecordCounts() throws IOException {
         Disk disk = Disk.open(home, 1);
         disk.save(bytes("s1"), bytes("c1"));
         disk.save(bytes("s2"), bytes("c2"));
-        damaged("snapshot.1", "s2/c2", "s1/c1");
+        assertRecovery("snapshot.1", "s2/c2", "s1/c1");
         disk.save(bytes("s3"), null);
         disk.save(bytes("s4"), null);
-        damaged("state.1", "s4/c2", "s3/c2");
-        damaged("snapshot.1", "s4/c2", "s4/c1");
+        assertRecovery("state.1", "s4/c2", "s3/c2");
+        assertRecovery("snapshot.1", "s4/c2", "s4/c1");
     }
 
-    private void damaged(String name, String whole, String before) throws IOException {
+    private void assertRecovery(String name, String whole, String before) throws IOException {
         Path file = home.resolve(name);
-        byte[] good = Files.readAllBytes(file);
-        for (int at = 0; at < good.length; at++) {
-            Files.write(file, Arrays.copyOf(good, at));
+        byte[] valid = Files.readAllBytes(file);
+        for (int at = 0; at < valid.length; at++) {
+            Files.write(file, Arrays.copyOf(valid, at));
             assertThat(text(Disk.open(home, 1).load())).as("cut at " + at).isEqualTo(before);
-            byte[] changed = good.clone();
+            byte[] changed = valid.clone();
             changed[at] ^= (byte) (1 << at % Byte.SIZE);
             Files.write(file, changed);
             assertThat(text(Disk.open(home, 1).load())).as("changed at " + at).isEqualTo(before);
         }
-        Files.write(file, good);
+        Files.write(file, valid);
         assertThat(text(Disk.open(home, 1).load())).isEqualTo(whole);
     }
 
--- a/src/test/java/gorsemast/storage/JournalTest.java
+++ b/src/test/java/gorsemast/storage/JournalTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is read back after records were appended, torn at each byte, written over, or refused. */
+/** What is read back after records were appended, torn at each byte, overwritten or refused. */
 class JournalTest {
     @TempDir
-    Path folder;
+    Path directory;
 
     private static List<byte[]> records(String... texts) {
         return Stream.of(texts)
@@ -24,7 +24,7 @@
     }
 
     private List<String> readBack() {
-        try (Journal journal = Journal.open(folder)) {
+        try (Journal journal = Journal.open(directory)) {
             return journal.read().stream()
                     .map(record -> new String(record, StandardCharsets.UTF_8))
                     .toList();
@@ -32,14 +32,14 @@
     }
 
     private void append(String... texts) {
-        try (Journal journal = Journal.open(folder)) {
+        try (Journal journal = Journal.open(directory)) {
             journal.read();
             journal.append(records(texts));
         }
     }
 
     @Test
-    void readsWhatWasAppendedInOrder() {
+    void readsAppendedRecordsInOrder() {
         assertThat(readBack()).isEmpty();
         append("one", "two");
         append("three");
@@ -47,35 +47,35 @@
     }
 
     @Test
-    void cutsATornTailAtEachByteAndWritesOverIt() throws IOException {
+    void ignoresATailTornAtAnyByteAndOverwritesIt() throws IOException {
         append("one", "two");
-        long whole = Files.size(folder.resolve("journal"));
+        long completeLength = Files.size(directory.resolve("journal"));
         append("the third one");
-        byte[] all = Files.readAllBytes(folder.resolve("journal"));
-        for (int length = (int) whole; length < all.length; length++) {
-            Files.write(folder.resolve("journal"), java.util.Arrays.copyOf(all, length));
+        byte[] bytes = Files.readAllBytes(directory.resolve("journal"));
+        for (int length = (int) completeLength; length < bytes.length; length++) {
+            Files.write(directory.resolve("journal"), java.util.Arrays.copyOf(bytes, length));
             assertThat(readBack()).containsExactly("one", "two");
             append("4");
             assertThat(readBack()).containsExactly("one", "two", "4");
         }
-        all[all.length - 3] ^= 1;
-        Files.write(folder.resolve("journal"), all);
+        bytes[bytes.length - 3] ^= 1;
+        Files.write(directory.resolve("journal"), bytes);
         assertThat(readBack()).containsExactly("one", "two");
     }
 
     @Test
-    void whatRemainsBehindAShorterRecordIsNoRecord() throws IOException {
+    void remainsBehindAShorterRecordAreIgnored() throws IOException {
         append("a long record that was torn when power was lost");
-        byte[] old = Files.readAllBytes(folder.resolve("journal"));
-        old[9] ^= 1;
-        Files.write(folder.resolve("journal"), old);
+        byte[] damaged = Files.readAllBytes(directory.resolve("journal"));
+        damaged[9] ^= 1;
+        Files.write(directory.resolve("journal"), damaged);
         append("new");
         assertThat(readBack()).containsExactly("new");
     }
 
     @Test
     void isEmptyOnceCleared() {
-        try (Journal journal = Journal.open(folder)) {
+        try (Journal journal = Journal.open(directory)) {
             journal.read();
             journal.append(records("one"));
             journal.clear();
@@ -86,8 +86,8 @@
     }
 
     @Test
-    void aRefusedWriteIsSaid() {
-        Journal journal = Journal.open(folder);
+    void aRefusedWriteIsReported() {
+        Journal journal = Journal.open(directory);
         journal.read();
         journal.close();
         assertThatThrownBy(() -> journal.append(records("one")))
--- a/src/test/java/gorsemast/storage/LossyFolder.java
+++ b/src/test/java/gorsemast/storage/LossyDirectory.java
@@ -11,24 +11,25 @@
 import java.util.TreeSet;
 
 /**
- * A folder that loses power in the middle of its n-th operation: what a file was last synced with is there, of what was
- * written since a first part, a last part, all or nothing; and each file whose name was not synced may be gone by itself.
+ * A directory that loses power in the middle of its n-th operation. After that a file has the content of its last sync,
+ * and of later writes a first part, a last part, all or nothing; a file whose directory entry was not synced may be
+ * gone.
  */
-final class LossyFolder implements Directory {
-    /** Defects of what stands between a disk and its file system. */
+final class LossyDirectory implements Directory {
+    /** Injected defects of the layer between a disk and its file system. */
     enum Defect {
         NONE,
         /** A write returns before it is synced. */
         WRITES_UNSYNCED,
-        /** What an earlier life left is not synced when it is opened. */
+        /** What an earlier process left is not synced when it is opened. */
         OPENED_UNSYNCED,
-        /** The folder is not synced after files were made. */
+        /** The directory is not synced after files were created. */
         NAMES_UNSYNCED,
-        /** Each opening writes under the same number of a life. */
-        LIVES_ALIKE
+        /** Each opening writes under the same incarnation number. */
+        SAME_INCARNATION
     }
 
-    /** Power is gone. */
+    /** The power is lost. */
     static final class PowerLost extends IOException {
         private static final long serialVersionUID = 1L;
     }
@@ -37,22 +38,22 @@
     private final Defect defect;
     private final Map<String, byte[]> files = new HashMap<>();
     private final Map<String, byte[]> synced = new HashMap<>();
-    private final Set<String> names = new HashSet<>();
-    private int left;
+    private final Set<String> syncedNames = new HashSet<>();
+    private int operationsLeft;
     boolean full;
 
-    LossyFolder(long seed, Defect defect) {
+    LossyDirectory(long seed, Defect defect) {
         this.random = new SplittableRandom(seed);
         this.defect = defect;
     }
 
-    /** Power, or where it is none the process, ends in the n-th operation from now. */
+    /** Ends the power or the process in the n-th operation from now. */
     void loseAfter(int operations) {
-        left = operations;
+        operationsLeft = operations;
     }
 
-    private boolean ends() {
-        return --left == 0;
+    private boolean endsNow() {
+        return --operationsLeft == 0;
     }
 
     @Override
@@ -71,7 +72,7 @@
         bytes.get(after, 0, bytes.remaining());
         files.put(name, after);
         synced.putIfAbsent(name, new byte[0]);
-        if (ends()) {
+        if (endsNow()) {
             throw new PowerLost();
         }
         if (defect != Defect.WRITES_UNSYNCED) {
@@ -81,7 +82,7 @@
 
     @Override
     public void sync(String name) throws IOException {
-        if (ends()) {
+        if (endsNow()) {
             throw new PowerLost();
         }
         if (defect != Defect.OPENED_UNSYNCED) {
@@ -91,25 +92,25 @@
 
     @Override
     public void syncDirectory() throws IOException {
-        if (ends()) {
+        if (endsNow()) {
             throw new PowerLost();
         }
         if (defect != Defect.NAMES_UNSYNCED) {
-            names.addAll(files.keySet());
+            syncedNames.addAll(files.keySet());
         }
     }
 
-    /** What is found when power is back. */
+    /** Applies a power loss to the files. */
     void powerLost() {
         for (String name : new TreeSet<>(files.keySet())) {
-            if (!names.contains(name) && random.nextBoolean()) {
+            if (!syncedNames.contains(name) && random.nextBoolean()) {
                 files.remove(name);
                 synced.remove(name);
             } else {
                 byte[] found = torn(synced.get(name), files.get(name));
                 files.put(name, found);
                 synced.put(name, found);
-                names.add(name);
+                syncedNames.add(name);
             }
         }
     }
--- a/src/test/java/gorsemast/storage/SnapshotTest.java
+++ b/src/test/java/gorsemast/storage/SnapshotTest.java
@@ -9,23 +9,23 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a registry knew is there whole or not at all, and what a write was cut in is not looked at. */
+/** A snapshot is read back completely or not at all, and an interrupted write is ignored. */
 class SnapshotTest {
     @TempDir
     Path home;
 
     @Test
-    void whatIsCutOrChangedAnywhereIsNotUsed() throws IOException {
+    void aTruncatedOrCorruptedSnapshotIsIgnored() throws IOException {
         Snapshot snapshot = new Snapshot(home);
         assertThat(snapshot.read()).isNull();
         snapshot.write(new byte[] {1, 2, 3});
         assertThat(snapshot.read()).containsExactly(1, 2, 3);
         Path file = home.resolve("known");
-        byte[] good = Files.readAllBytes(file);
-        for (int at = 0; at < good.length; at++) {
-            Files.write(file, Arrays.copyOf(good, at));
+        byte[] valid = Files.readAllBytes(file);
+        for (int at = 0; at < valid.length; at++) {
+            Files.write(file, Arrays.copyOf(valid, at));
             assertThat(snapshot.read()).isNull();
-            byte[] changed = good.clone();
+            byte[] changed = valid.clone();
             changed[at] ^= 1;
             Files.write(file, changed);
             assertThat(snapshot.read()).isNull();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aWriteThatIsCutLeavesTheOneBefore() throws IOException {
+    void anInterruptedWriteKeepsThePreviousSnapshot() throws IOException {
         Snapshot snapshot = new Snapshot(home);
         snapshot.write(new byte[] {1, 2, 3});
         Files.write(home.resolve("known.next"), new byte[] {9, 9, 9, 9, 9, 9, 9, 9, 9});
--- a/src/test/java/gorsemast/storage/FormerDiskTest.java
+++ b/src/test/java/gorsemast/storage/XodusImportTest.java
@@ -16,12 +16,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk of a release that kept its records in Xodus is taken over, once. */
-class FormerDiskTest {
+/** The records of a release that kept them in Xodus are imported once. */
+class XodusImportTest {
     @TempDir
     Path home;
 
-    private void former(String folder, byte[] state, byte[] configuration) {
+    private void writeXodus(String directory, byte[] state, byte[] configuration) {
         EnvironmentConfig config = new EnvironmentConfig()
                 .setLogDurableWrite(true)
                 .setLogFileSize(1_024)
@@ -31,16 +31,16 @@
                 .setGcEnabled(false)
                 .setManagementEnabled(false);
         try (Environment environment =
-                Environments.newInstance(home.resolve(folder).toFile(), config)) {
+                Environments.newInstance(home.resolve(directory).toFile(), config)) {
             environment.executeInTransaction(txn -> {
                 var store = environment.openStore(XodusImport.STORE, StoreConfig.WITHOUT_DUPLICATES, txn);
-                store.put(txn, StringBinding.stringToEntry(XodusImport.STATE), checked(state));
-                store.put(txn, StringBinding.stringToEntry(XodusImport.CONFIGURATION), checked(configuration));
+                store.put(txn, StringBinding.stringToEntry(XodusImport.STATE), withChecksum(state));
+                store.put(txn, StringBinding.stringToEntry(XodusImport.CONFIGURATION), withChecksum(configuration));
             });
         }
     }
 
-    private static ArrayByteIterable checked(byte[] record) {
+    private static ArrayByteIterable withChecksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return new ArrayByteIterable(ByteBuffer.allocate(Integer.BYTES + record.length)
@@ -50,10 +50,10 @@
     }
 
     @Test
-    void itsRecordsAreTakenOverAndItsFilesGo() {
+    void recordsAreImportedAndTheOldFilesRemoved() {
         byte[] large = new byte[200_000];
         large[199_999] = 7;
-        former("xodus", new byte[] {1, 2, 3}, large);
+        writeXodus("xodus", new byte[] {1, 2, 3}, large);
         Disk.Saved saved = Disk.open(home, 1).load();
         assertThat(saved.state()).containsExactly(1, 2, 3);
         assertThat(saved.configuration()).isEqualTo(large);
@@ -63,23 +63,23 @@
     }
 
     @Test
-    void whatWasPutAsideInTheMiddleOfARewriteCountsToo() {
-        former("old", new byte[] {4}, new byte[] {5});
+    void aLogMovedAsideByAnInterruptedRewriteIsImportedToo() {
+        writeXodus("old", new byte[] {4}, new byte[] {5});
         assertThat(Disk.open(home, 1).load().state()).containsExactly(4);
         assertThat(home.resolve("old")).doesNotExist();
     }
 
     @Test
-    void onceTakenOverItNeverComesBack() {
+    void existingRecordsAreNeverReplacedByAnImport() {
         Disk disk = Disk.open(home, 1);
         disk.save(new byte[] {9}, new byte[] {9});
-        former("xodus", new byte[] {1}, new byte[] {1});
+        writeXodus("xodus", new byte[] {1}, new byte[] {1});
         assertThat(Disk.open(home, 1).load().state()).containsExactly(9);
         assertThat(home.resolve("xodus")).doesNotExist();
     }
 
     @Test
-    void whatCannotBeReadCountsAsLost() throws IOException {
+    void anUnreadableLogCountsAsLost() throws IOException {
         Files.createDirectories(home.resolve("xodus"));
         Files.write(home.resolve("xodus").resolve("00000000000.xd"), new byte[100]);
         assertThat(Disk.open(home, 1).load()).isNull();
--- a/src/test/java/gorsemast/store/MembershipPlannerTest.java
+++ b/src/test/java/gorsemast/store/MembershipPlannerTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who is to be a member and who holds copies, for given machines. */
+/** Which machines become members and which of them hold copies, for given machines. */
 class MembershipPlannerTest {
     private static final long SECOND = 1_000_000;
-    private final MembershipPlanner machines = new MembershipPlanner(FaultTolerance.ofMachines(1));
-    private final MembershipPlanner zones = new MembershipPlanner(new FaultTolerance(1, 1, 0));
+    private final MembershipPlanner machineTolerant = new MembershipPlanner(FaultTolerance.ofMachines(1));
+    private final MembershipPlanner zoneTolerant = new MembershipPlanner(new FaultTolerance(1, 1, 0));
 
     private static Member member(String name) {
         return new Member(name, name.split("#")[0]);
     }
 
-    private static Candidate well(String name, String zone) {
+    private static Candidate healthy(String name, String zone) {
         return new Candidate(member(name), 0, false, new Location(zone, "r", true));
     }
 
@@ -29,14 +29,14 @@
         return new Candidate(member(name), micros, false, new Location("z", "r", true));
     }
 
-    private static Candidate leaves(String name) {
+    private static Candidate leaving(String name) {
         return new Candidate(member(name), 0, true, new Location("z", "r", true));
     }
 
-    private static List<Candidate> well(String zones) {
+    private static List<Candidate> healthy(String zones) {
         List<Candidate> all = new ArrayList<>();
         for (String zone : zones.split("")) {
-            all.add(well("m" + (all.size() + 1) + "#0", zone));
+            all.add(healthy("m" + (all.size() + 1) + "#0", zone));
         }
         return all;
     }
@@ -48,54 +48,55 @@
     }
 
     @Test
-    void aFourthMachineIsASpareWhileThreeAreWell() {
-        assertThat(machines.planChange(member("m1#0"), well("zzz"), List.of(well("s#1", "z"))))
+    void aFourthMachineStaysASpareWhileThreeMembersAreHealthy() {
+        assertThat(machineTolerant.planChange(member("m1#0"), healthy("zzz"), List.of(healthy("s#1", "z"))))
                 .isNull();
-        assertThat(machines.targetMemberCount()).isEqualTo(3);
+        assertThat(machineTolerant.targetMemberCount()).isEqualTo(3);
     }
 
     @Test
-    void itTakesThePlaceOfOneThatLeavesAtOnceAndOfASilentOneLater() {
-        Member me = member("m1#0");
-        List<Candidate> spare = List.of(well("s#1", "z"));
-        assertThat(names(machines.planChange(me, List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0")), spare)))
+    void aSpareReplacesALeavingMemberAtOnceAndASilentOneLater() {
+        Member self = member("m1#0");
+        List<Candidate> spare = List.of(healthy("s#1", "z"));
+        assertThat(names(machineTolerant.planChange(
+                        self, List.of(healthy("m1#0", "z"), healthy("m2#0", "z"), leaving("m3#0")), spare)))
                 .isEqualTo("m1 m2 s");
-        List<Candidate> short1 = List.of(well("m1#0", "z"), silent("m2#0", SECOND), well("m3#0", "z"));
-        assertThat(machines.planChange(me, short1, spare)).isNull();
-        List<Candidate> gone = List.of(
-                well("m1#0", "z"), silent("m2#0", MembershipPlanner.REPLACE_AFTER_MICROS + 1), well("m3#0", "z"));
-        assertThat(names(machines.planChange(me, gone, spare))).isEqualTo("m1 s m3");
+        List<Candidate> briefSilence = List.of(healthy("m1#0", "z"), silent("m2#0", SECOND), healthy("m3#0", "z"));
+        assertThat(machineTolerant.planChange(self, briefSilence, spare)).isNull();
+        List<Candidate> longSilence = List.of(
+                healthy("m1#0", "z"), silent("m2#0", MembershipPlanner.REPLACE_AFTER_MICROS + 1), healthy("m3#0", "z"));
+        assertThat(names(machineTolerant.planChange(self, longSilence, spare))).isEqualTo("m1 s m3");
     }
 
     @Test
-    void theMachineOfALostDiskTakesItsOwnPlaceBeforeASpareDoes() {
-        List<Candidate> members = List.of(well("m1#0", "z"), silent("m2#0", 2 * SECOND), well("m3#0", "z"));
-        List<Candidate> others = List.of(well("a#1", "z"), well("m2#7", "z"));
-        assertThat(machines.planChange(member("m1#0"), members, others)).contains(member("m2#7"));
-        // The life before, not heard any more, never takes it back.
-        List<Candidate> back = List.of(well("m1#0", "z"), well("m2#7", "z"), well("m3#0", "z"));
-        assertThat(machines.planChange(member("m1#0"), back, List.of(silent("m2#0", SECOND / 2))))
+    void aMachineWithAnEmptyDiskReplacesItsFormerMemberBeforeASpareDoes() {
+        List<Candidate> members = List.of(healthy("m1#0", "z"), silent("m2#0", 2 * SECOND), healthy("m3#0", "z"));
+        List<Candidate> others = List.of(healthy("a#1", "z"), healthy("m2#7", "z"));
+        assertThat(machineTolerant.planChange(member("m1#0"), members, others)).contains(member("m2#7"));
+        // The member with the lost disk, silent since, never replaces the new one.
+        List<Candidate> replaced = List.of(healthy("m1#0", "z"), healthy("m2#7", "z"), healthy("m3#0", "z"));
+        assertThat(machineTolerant.planChange(member("m1#0"), replaced, List.of(silent("m2#0", SECOND / 2))))
                 .isNull();
     }
 
     @Test
-    void onlyMachinesWhoseLossCountsAndThatStayAreTakenIn() {
-        List<Candidate> members = List.of(well("m1#0", "z"), well("m2#0", "z"), leaves("m3#0"));
+    void onlyMachinesWhoseLossCountsAndThatAreNotLeavingJoin() {
+        List<Candidate> members = List.of(healthy("m1#0", "z"), healthy("m2#0", "z"), leaving("m3#0"));
         Candidate uncounted = new Candidate(member("s#1"), 0, false, new Location("z", "r", false));
-        assertThat(machines.planChange(member("m1#0"), members, List.of(uncounted, leaves("t#1"))))
+        assertThat(machineTolerant.planChange(member("m1#0"), members, List.of(uncounted, leaving("t#1"))))
                 .isNull();
     }
 
     @Test
     void thePrimaryNeverReplacesItself() {
-        List<Candidate> members = List.of(leaves("m1#0"), well("m2#0", "z"), well("m3#0", "z"));
-        assertThat(machines.planChange(member("m1#0"), members, List.of(well("s#1", "z"))))
+        List<Candidate> members = List.of(leaving("m1#0"), healthy("m2#0", "z"), healthy("m3#0", "z"));
+        assertThat(machineTolerant.planChange(member("m1#0"), members, List.of(healthy("s#1", "z"))))
                 .isNull();
     }
 
     @ParameterizedTest
     @CsvSource({"1, 3, 1", "1, 4, 1", "1, 5, 2", "2, 3, 2", "2, 4, 2", "2, 5, 2", "1, 1, 0"})
-    void everyMajorityMeetsACopy(int losses, int members, int backups) {
+    void everyMajorityContainsACopy(int losses, int members, int backups) {
         MembershipPlanner planner = new MembershipPlanner(FaultTolerance.ofMachines(losses));
         assertThat(planner.backupCount(members)).isEqualTo(backups);
         int majority = members / 2 + 1;
@@ -103,47 +104,50 @@
     }
 
     @Test
-    void membersGrowOneAtATimeWhileAllAreWell() {
-        MembershipPlanner two = new MembershipPlanner(FaultTolerance.ofMachines(2));
-        List<Candidate> spares = List.of(well("s#1", "z"), well("t#1", "z"));
-        assertThat(names(two.planChange(member("m1#0"), well("zzz"), spares))).isEqualTo("m1 m2 m3 s");
-        List<Candidate> one = List.of(well("m1#0", "z"), silent("m2#0", SECOND), well("m3#0", "z"));
-        assertThat(two.planChange(member("m1#0"), one, spares)).isNull();
+    void membersAreAddedOneAtATimeWhileAllAreHealthy() {
+        MembershipPlanner planner = new MembershipPlanner(FaultTolerance.ofMachines(2));
+        List<Candidate> spares = List.of(healthy("s#1", "z"), healthy("t#1", "z"));
+        assertThat(names(planner.planChange(member("m1#0"), healthy("zzz"), spares)))
+                .isEqualTo("m1 m2 m3 s");
+        List<Candidate> oneSilent = List.of(healthy("m1#0", "z"), silent("m2#0", SECOND), healthy("m3#0", "z"));
+        assertThat(planner.planChange(member("m1#0"), oneSilent, spares)).isNull();
     }
 
     @Test
-    void membersMoveToOtherZonesUntilOneMayGo() {
-        List<Candidate> members = well("aab");
-        assertThat(names(zones.planChange(member("m1#0"), members, List.of(well("s#1", "a"), well("t#1", "c")))))
+    void membersMoveToOtherZonesUntilAZoneLossIsTolerated() {
+        List<Candidate> members = healthy("aab");
+        assertThat(names(zoneTolerant.planChange(
+                        member("m1#0"), members, List.of(healthy("s#1", "a"), healthy("t#1", "c")))))
                 .isEqualTo("m1 t m3");
-        assertThat(zones.planChange(member("m1#0"), well("abc"), List.of(well("s#1", "a"))))
+        assertThat(zoneTolerant.planChange(member("m1#0"), healthy("abc"), List.of(healthy("s#1", "a"))))
                 .isNull();
-        assertThat(machines.planChange(member("m1#0"), members, List.of(well("t#1", "c"))))
+        assertThat(machineTolerant.planChange(member("m1#0"), members, List.of(healthy("t#1", "c"))))
                 .isNull();
     }
 
     @Test
-    void aCopyStandsInAnotherZone() {
-        List<Candidate> members = well("aab");
+    void aCopyIsPlacedInAnotherZone() {
+        List<Candidate> members = healthy("aab");
         Set<String> able = Set.of("m2#0", "m3#0");
-        assertThat(zones.chooseBackups("m1#0", members, able, List.of("m2#0"))).containsExactly("m3#0");
-        assertThat(machines.chooseBackups("m1#0", members, able, List.of("m2#0")))
+        assertThat(zoneTolerant.chooseBackups("m1#0", members, able, List.of("m2#0")))
+                .containsExactly("m3#0");
+        assertThat(machineTolerant.chooseBackups("m1#0", members, able, List.of("m2#0")))
                 .containsExactly("m2#0");
-        assertThat(zones.areSound("m1#0", members, List.of("m2#0"))).isFalse();
-        assertThat(zones.areSound("m1#0", members, List.of("m3#0"))).isTrue();
+        assertThat(zoneTolerant.areSound("m1#0", members, List.of("m2#0"))).isFalse();
+        assertThat(zoneTolerant.areSound("m1#0", members, List.of("m3#0"))).isTrue();
     }
 
     @Test
-    void oneThatLeavesHoldsACopyOnlyWhereNobodyElseCan() {
-        List<Candidate> members = List.of(well("m1#0", "z"), leaves("m2#0"), well("m3#0", "z"));
-        assertThat(machines.chooseBackups("m1#0", members, Set.of("m2#0", "m3#0"), List.of("m2#0")))
+    void aLeavingMemberHoldsACopyOnlyIfNoOtherCan() {
+        List<Candidate> members = List.of(healthy("m1#0", "z"), leaving("m2#0"), healthy("m3#0", "z"));
+        assertThat(machineTolerant.chooseBackups("m1#0", members, Set.of("m2#0", "m3#0"), List.of("m2#0")))
                 .containsExactly("m3#0");
-        assertThat(machines.chooseBackups("m1#0", members, Set.of("m2#0"), List.of()))
+        assertThat(machineTolerant.chooseBackups("m1#0", members, Set.of("m2#0"), List.of()))
                 .containsExactly("m2#0");
     }
 
     @Test
-    void whatTheMachinesDoNotAllowIsSaidOnce() {
+    void aShortfallIsReportedOnce() {
         Membership membership = new Membership(new FaultTolerance(1, 1, 0), new Location("a", "r", true));
         List<Member> members = List.of(member("m1#0"), member("m2#0"), member("m3#0"));
         View view = new View(1, "m1#0", List.of("m2#0"), members, List.of());
@@ -156,7 +160,7 @@
     }
 
     @Test
-    void whoIsInNoViewIsForgottenAndNoMoreThanSomeAreRemembered() {
+    void nonMembersAreForgottenAndTheirNumberIsLimited() {
         Liveness liveness = new Liveness();
         View view = Replica.initialView(List.of(member("m1#0")));
         for (int i = 0; i < 3 * Liveness.MAX_NON_MEMBERS; i++) {
--- a/src/test/java/gorsemast/store/StateWriterTest.java
+++ b/src/test/java/gorsemast/store/StateWriterTest.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Saves count in their order and once they, or later ones, are on disk; however the disk fails. */
+/** Saves are reported in order, once they or later ones are on disk, however the disk fails. */
 class StateWriterTest {
     private final Deque<Runnable> thread = new ArrayDeque<>();
-    private final List<Long> told = new ArrayList<>();
+    private final List<Long> reported = new ArrayList<>();
     private final List<String> written = new ArrayList<>();
     private final Deque<Throwable> failures = new ArrayDeque<>();
-    private Runnable pause = () -> {};
+    private Runnable waitBeforeRetry = () -> {};
     private final StateWriter writer =
-            new StateWriter(this::write, thread::add, Runnable::run, told::add, () -> pause.run());
+            new StateWriter(this::write, thread::add, Runnable::run, reported::add, () -> waitBeforeRetry.run());
 
     private void write(byte[] state, byte[] configuration) {
         Throwable failure = failures.poll();
@@ -28,8 +28,8 @@
         written.add(configuration == null ? "state" : "both");
     }
 
-    private void save(long token, boolean keptToo) {
-        writer.save(ReplicaState.initial("m1", List.of(), true, 0), keptToo, token);
+    private void save(long token, boolean storedChanged) {
+        writer.save(ReplicaState.initial("m1", List.of(), true, 0), storedChanged, token);
     }
 
     private void run() {
@@ -39,42 +39,42 @@
     }
 
     @Test
-    void savesThatWaitAreJoinedAndToldOfInOrder() {
+    void waitingSavesAreMergedAndReportedInOrder() {
         save(1, false);
         save(2, true);
         save(3, false);
-        assertThat(told).isEmpty();
+        assertThat(reported).isEmpty();
         run();
         assertThat(written).containsExactly("both");
-        assertThat(told).containsExactly(1L, 2L, 3L);
+        assertThat(reported).containsExactly(1L, 2L, 3L);
     }
 
     @Test
-    void noLaterSaveCountsWhileOneHasFailed() {
+    void noLaterSaveIsReportedWhileOneHasFailed() {
         failures.add(new IllegalStateException("full"));
         failures.add(new OutOfMemoryError("of the disk's thread"));
-        pause = () -> {
+        waitBeforeRetry = () -> {
             if (failures.isEmpty()) {
                 save(3, false);
             }
-            assertThat(told).isEmpty();
+            assertThat(reported).isEmpty();
         };
         save(1, true);
         save(2, false);
         run();
-        // What failed held a version: whatever is written in its place has it too.
+        // The failed save changed the stored version, so the merged save has to write it too.
         assertThat(written).containsExactly("both");
-        assertThat(told).containsExactly(1L, 2L, 3L);
+        assertThat(reported).containsExactly(1L, 2L, 3L);
     }
 
     @Test
-    void twoStatesWaitAtMostHoweverLongADiskHangs() {
+    void atMostTwoStatesWaitHoweverLongADiskHangs() {
         for (int token = 1; token <= 10_000; token++) {
             save(token, token % 2 == 0);
         }
         assertThat(thread).hasSize(1);
         run();
         assertThat(written).hasSize(1);
-        assertThat(told).hasSize(10_000);
+        assertThat(reported).hasSize(10_000);
     }
 }
