--- a/src/main/java/anisebend/Adapter.java
+++ b/src/main/java/anisebend/Adapter.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Carries batches of wire events to balancers and their actions back. It decides nothing. */
+/** Connects balancers to the simulator's wire protocol: reads batches of events and writes actions. */
 final class Adapter {
     private final JsonParser in;
     private final JsonGenerator out;
@@ -34,7 +34,7 @@
         this.err = err;
     }
 
-    /** Serves until the input ends; returns the exit code. */
+    /** Handles messages until the input ends; returns the exit code. */
     int run() throws IOException {
         try {
             while (event.read(in)) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /** Reads what the event needs, so that a malformed one is told apart from a fault of the module. */
+    /** Reads the fields of the event first, so that a malformed event is not reported as a fault of the module. */
     private Runnable bind(Instance instance) throws WireException {
         Balancer b = instance.balancer;
         switch (event.type) {
@@ -177,7 +177,7 @@
         out.writeRaw('\n');
     }
 
-    /** One balancer and the writing of its actions. */
+    /** A balancer; writes its actions to the output. */
     private final class Instance implements Actions {
         final int id;
         final List<String> columns;
@@ -294,7 +294,7 @@
         }
     }
 
-    /** Standard output is gone; carried through the module to the reading loop. */
+    /** Carries a failure to write the output through the module to the reading loop. */
     private static final class WriteFailed extends RuntimeException {
         private static final long serialVersionUID = 1L;
         final transient IOException cause;
@@ -305,7 +305,7 @@
         }
     }
 
-    /** A message that does not follow the wire. */
+    /** A message that violates the wire protocol. */
     static final class WireException extends IOException {
         private static final long serialVersionUID = 1L;
 
--- a/src/main/java/anisebend/AdaptiveInterval.java
+++ b/src/main/java/anisebend/AdaptiveInterval.java
@@ -2,20 +2,18 @@
 
 import java.util.SplittableRandom;
 
-/** The paper's sleeper: an interval that failures multiply up and counted successes step down. */
+/** A randomized interval between uses: doubled on failure, halved after a number of successes. */
 class AdaptiveInterval {
-    /** The paper's multipliers and threshold: doubled on failure, halved after a few successes. */
-    private static final double UP = 2;
-
-    private static final double DOWN = 0.5;
-    private static final double RANDOMIZATION = 0.3;
-    static final int THRESHOLD = 6;
+    private static final double INCREASE_FACTOR = 2;
+    private static final double DECREASE_FACTOR = 0.5;
+    private static final double JITTER = 0.3;
+    static final int SUCCESS_THRESHOLD = 6;
 
     final SplittableRandom random;
     final long initialInterval;
     final long maxInterval;
     long currentInterval;
-    int currentSuccess;
+    int successes;
 
     AdaptiveInterval(SplittableRandom random, long initialInterval, long maxInterval) {
         this.random = random;
@@ -23,24 +21,24 @@
         this.maxInterval = maxInterval;
     }
 
-    void goUp() {
-        currentInterval = currentInterval == 0 ? initialInterval : draw(currentInterval * UP);
+    void increase() {
+        currentInterval = currentInterval == 0 ? initialInterval : jitter(currentInterval * INCREASE_FACTOR);
     }
 
-    void success() {
-        if (currentInterval > 0 && ++currentSuccess >= THRESHOLD) {
-            goDown();
-            currentSuccess = 0;
+    void recordSuccess() {
+        if (currentInterval > 0 && ++successes >= SUCCESS_THRESHOLD) {
+            decrease();
+            successes = 0;
         }
     }
 
-    void goDown() {
-        long next = draw(currentInterval * DOWN);
+    void decrease() {
+        long next = jitter(currentInterval * DECREASE_FACTOR);
         currentInterval = next < initialInterval ? 0 : next;
     }
 
-    private long draw(double interval) {
-        double delta = Math.min(RANDOMIZATION * interval, maxInterval / 2.0);
+    private long jitter(double interval) {
+        double delta = Math.min(JITTER * interval, maxInterval / 2.0);
         return (long) Math.min(maxInterval, interval - delta + 2 * delta * random.nextDouble());
     }
 }
--- a/src/main/java/anisebend/Balancer.java
+++ b/src/main/java/anisebend/Balancer.java
@@ -3,96 +3,96 @@
 import java.util.List;
 
 /**
- * The decisions of one sidecar, as events in and actions out.
+ * The load balancing decisions of one proxy: events in, actions out.
  *
- * <p><b>Threading.</b> Not thread-safe: one caller at a time; instances share nothing, so any number may live
- * in one process. <b>Order.</b> {@link #start} comes first and once, then {@link #servers}, then anything;
- * {@code now} never goes back. Actions are issued during the event method that causes them, in the order
- * they are to be carried out; the sink must not call back into the balancer. <b>Time</b> is the caller's, in
- * integer microseconds from any origin. <b>Lifetime.</b> After a crash, make a new instance. The same
- * settings, seed and events give the same actions. No method blocks, does I/O or keeps a thread.
+ * <p>Not thread-safe: one caller at a time. Instances share nothing, so any number may exist in one process.
+ * {@link #start} is called first and once, then {@link #servers}, then any event; {@code now} never decreases.
+ * Actions are issued during the event method that causes them, in the order in which they are to be carried out;
+ * they must not call back into the balancer. Times are integer microseconds from any origin. After a crash,
+ * create a new instance. The same settings, seed and events give the same actions. No method blocks, does I/O or
+ * starts a thread.
  */
 public interface Balancer {
-    /** Begins. Throws {@link IllegalArgumentException} naming a setting that cannot be worked with. */
+    /** Starts the balancer. Throws {@link IllegalArgumentException} naming an invalid setting. */
     void start(long now, long seed, Settings settings);
 
     /**
-     * Goes on with other settings. A class keeps its number and its rules for good, further ones may be added; what is
-     * open keeps its number of attempts. Throws as {@link #start}, and then nothing has changed. Times that were taken
-     * from the first settings stay.
+     * Changes the settings. A class keeps its number and its rules, and classes may be added; open requests keep their
+     * maximum number of attempts. Throws as {@link #start} does, and then nothing has changed. Time spans derived from
+     * the first settings stay.
      */
     void reconfigure(long now, Settings settings);
 
     /**
-     * News of the server list. Entries of {@link ListKind#CHANGES} are laid over the known list; any other
-     * kind but FAILED replaces it, and a server that it lacks has gone.
+     * An update of the server list. Entries of {@link ListKind#CHANGES} are merged into the known list; any other kind
+     * except FAILED replaces it, and a server missing from it is gone.
      */
     void servers(long now, ListKind kind, List<Server> entries);
 
-    /** A client's request; it gets one final answer: the first OK outcome, a refusal or a failure. */
+    /** A client's request. It gets exactly one final answer: the first OK outcome, a refusal or a failure. */
     void request(long now, Request request);
 
-    /** How one attempt ended; each {@link Actions#send} gets exactly one. Unknown attempts are ignored. */
+    /** The end of an attempt; each {@link Actions#send} gets exactly one. Unknown attempts are ignored. */
     void outcome(long now, Outcome outcome);
 
     /**
-     * The answer to a {@link Actions#probe}; {@code report} may be null. The policy asks for none: paced trials by
-     * requests tell more than a sign of life.
+     * The answer to a {@link Actions#probe}; {@code report} may be null. The policy sends no probes: paced trial
+     * requests say more about a server than a health check.
      */
     default void probed(long now, String server, boolean alive, Report report) {}
 
-    /** A streamed answer has begun: the request is served, though its attempt is still out. */
+    /** A streamed response has begun: the request counts as served while its attempt is still in flight. */
     default void responseStarted(long now, String request) {
         abandoned(now, request);
     }
 
-    /** The client has gone: no answer is owed. Its attempt still gets an outcome. Unknown ids are ignored. */
+    /** The client has gone, so no answer is owed. Its attempt still gets an outcome. Unknown ids are ignored. */
     void abandoned(long now, String request);
 
     /** A timer set by {@link Actions#timer} is due. Stale and unknown ones are ignored. */
     void timer(long now, long token);
 
-    /** What it believes now; computed when asked, and changes nothing. For observers, not for decisions. */
+    /** A snapshot of the present state, for monitoring; changes nothing. */
     View view(long now);
 
-    /** What the balancer wants done. Implementations must not throw and must not call the balancer. */
+    /** The actions of a balancer. Implementations must not throw and must not call the balancer. */
     interface Actions {
-        /** Sends the request's next attempt (they count from 0), to be given up at {@code until}. */
+        /** Sends the request's next attempt (numbered from 0), which times out at {@code until}. */
         void send(String request, String server, long until);
 
-        /** Final answer: no, and trying again does no harm; 0 gives no advice on when. */
+        /** Final answer: refused, and safe to retry after {@code retryAfter}; 0 states no time. */
         void refuse(String request, long retryAfter);
 
-        /** Final answer: failed, promising nothing about the effect. */
+        /** Final answer: failed; the request may have been executed. */
         void fail(String request);
 
-        /** Calls an attempt off; its outcome still comes. */
+        /** Cancels an attempt; its outcome still follows. */
         void cancel(String request, int attempt);
 
-        /** Asks a server for a sign of life and its load. */
+        /** Checks the health and load of a server. */
         void probe(String server);
 
         /** Closes this balancer's idle connections to a server. */
         void closeIdle(String server);
 
-        /** Asks for the server list and its changes from now on; answered by {@link Balancer#servers}. */
+        /** Subscribes to the server list and its changes; answered by {@link Balancer#servers}. */
         void subscribe();
 
-        /** Asks for a {@link Balancer#timer} call at or after {@code at}. */
+        /** Requests a {@link Balancer#timer} call at or after {@code at}. */
         void timer(long at, long token);
 
-        /** A line for the operator. */
+        /** Logs a line for the operator. */
         void log(String text);
     }
 
-    /** What a request's repetition does: nothing, nothing while its key is remembered, or harm. */
+    /** Whether a request may be repeated: always, while its idempotency key is remembered, or never. */
     enum Effect {
         SAFE,
         KEYED,
         UNSAFE
     }
 
-    /** The servers that remember a keyed request's key. */
+    /** The servers that remember the idempotency key of a request. */
     enum Group {
         ALL,
         ZONE,
@@ -106,7 +106,7 @@
         DRAINING
     }
 
-    /** What a list event brings; CACHED is the last list known before a restart and may be old. */
+    /** Kind of a list update; CACHED is the last list known before a restart and may be stale. */
     enum ListKind {
         CHANGES,
         FULL,
@@ -126,9 +126,9 @@
         NOT_SENT(false),
         MISS(false);
 
-        /** Whether the request may have run. */
+        /** Whether the request may have been executed. */
         public final boolean mayHaveRun;
-        /** Whether the attempt says nothing of its server, as it ended on this side. */
+        /** Whether the attempt was ended on this side and so says nothing about its server. */
         public final boolean endedLocally;
 
         Code(boolean mayHaveRun) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** What a miss tells of other fetches: nothing known, none out, or one out for another request. */
+    /** Cache status of a response: unknown, a hit, a miss, or a miss whose fetch was already in flight. */
     enum CacheStatus {
         NONE,
         HIT,
@@ -145,7 +145,7 @@
         MISS_FETCHING
     }
 
-    /** A class of requests: {@code targetLatency} is the wanted, {@code deadline} the longest wait, in microseconds. */
+    /** A class of requests; {@code deadline} is the longest wait. Times in microseconds. */
     record RequestClass(
             Effect effect,
             Group group,
@@ -153,8 +153,7 @@
             long targetLatency,
             long deadline,
             double importance) {
-        // Spelt out: what a record brings by itself is put together at its first use, which costs a starting process 30
-        // ms.
+        // Written out, as the generated methods are linked at their first use, which costs a starting process 30 ms.
         @Override
         public boolean equals(Object other) {
             return other instanceof RequestClass o
@@ -172,18 +171,17 @@
         }
     }
 
-    /** A tenant: its part of the service and the rate, over all balancers, that counts in full. */
+    /** A tenant: its share of the service, and its guaranteed rate over all balancers. */
     record Tenant(double share, double quotaPerSecond) {}
 
-    /** Load as a server last reported it; a value that is not reported is NaN. */
+    /** Load last reported by a server; NaN for a value that it does not report. */
     record Report(double outstanding, double utilization, double serviceMicros) {}
 
     /**
-     * All that is set at start. {@code originKind} is the kind of the list entry that is the origin when
-     * servers answer misses (cache-aside), or -1 when they fetch for themselves. Within any {@code resendSpan}
-     * the attempts after each request's first number at most {@code freeResends} plus {@code resendShare} of
-     * the requests taken in it, one after each miss not counted; a span of 0 means no such ration. Times in
-     * microseconds.
+     * The settings of a balancer. {@code originKind} is the kind of the list entry that is the origin if servers
+     * report misses (cache-aside), or -1 if they fetch from the origin themselves. Within any {@code resendSpan}
+     * there are at most {@code freeResends} plus {@code resendShare} times its requests further attempts, not
+     * counting the one after each miss; a span of 0 disables this limit. Times in microseconds.
      */
     record Settings(
             int balancers,
@@ -204,7 +202,7 @@
             double freeResends,
             double resendShare,
             long resendSpan) {
-        /** Throws {@link IllegalArgumentException} that names what can't be worked with. */
+        /** Throws {@link IllegalArgumentException} naming an invalid setting. */
         void check(long shortestDeadline) {
             check(!classes.isEmpty(), "classes");
             check(balancers > 0, "balancers");
@@ -216,27 +214,29 @@
             check(resendSpan > 0 || resendSpan == 0 && freeResends + resendShare == 0, "resendSpan");
             check(listAskWithin > 0 || !listMustBeAsked, "listAskWithin");
             for (RequestClass type : classes) {
-                check(type.deadline() >= shortestDeadline && type.targetLatency() > 0, "deadline and aim of a class");
+                check(
+                        type.deadline() >= shortestDeadline && type.targetLatency() > 0,
+                        "deadline and target latency of a class");
             }
         }
 
         private static void check(boolean holds, String setting) {
             if (!holds) {
-                throw new IllegalArgumentException("setting cannot be worked with: " + setting);
+                throw new IllegalArgumentException("invalid setting: " + setting);
             }
         }
     }
 
-    /** One entry of the server list; {@code startedAt} is 0 for long ago. */
+    /** An entry of the server list; {@code startedAt} is 0 if the server started long ago. */
     record Server(String id, int zone, int kind, int cell, State state, double weight, long startedAt) {}
 
-    /** One request; {@code key} may be null. The client stops waiting at {@code expiresAt}. */
+    /** A request; {@code key} may be null. The client stops waiting at {@code expiresAt}. */
     record Request(String id, int requestClass, int tenant, String key, long expiresAt, boolean write) {}
 
     /**
-     * Why a request got no answer from a server: its time was up, no server could be had, its attempts or its
-     * right to repeat were spent, its tenant was over its share at a pressed server, the server's lanes could
-     * not let it out in time, or there was no budget for another retry.
+     * Why a request was not served: it timed out, no server was available, its attempts were used up or it must not
+     * be repeated, its tenant was over its share at a busy server, the server's lanes could not send it in time, or
+     * the retry budget was used up.
      */
     enum UnservedReason {
         TIME_UP,
@@ -247,7 +247,7 @@
         NO_BUDGET
     }
 
-    /** One server as believed: intervals in microseconds, warmth from 0 to 1, slowness in parts of the aim. */
+    /** State of a server: intervals in microseconds, warmth from 0 to 1, slowness as latency over target latency. */
     record ServerView(
             String id,
             State state,
@@ -260,10 +260,13 @@
             int excludedClasses,
             double slowness) {}
 
-    /** All servers, last the ledger's lanes where servers fetch for themselves, and what is held; {@code unservedByReason} counts final answers since the start, by {@link UnservedReason}. */
+    /**
+     * All servers, last the pacer of fetches if servers fetch from the origin themselves, and the requests in hand;
+     * {@code unservedByReason} counts requests since the start, by {@link UnservedReason}.
+     */
     record View(List<ServerView> servers, int unassigned, int open, double retriesLeft, long[] unservedByReason) {}
 
-    /** End of an attempt; {@code requestFinished}: the request needs no answer any more. {@code report} may be null. */
+    /** End of an attempt; {@code requestFinished}: the request needs no further answer. {@code report} may be null. */
     record Outcome(
             String request,
             int attempt,
--- a/src/main/java/anisebend/BalancingPolicy.java
+++ b/src/main/java/anisebend/BalancingPolicy.java
@@ -1,8 +1,8 @@
 package anisebend;
 
-import anisebend.Measures.Estimate;
-import anisebend.Measures.Rate;
-import anisebend.Measures.Window;
+import anisebend.Stats.Estimate;
+import anisebend.Stats.Rate;
+import anisebend.Stats.Window;
 import gorsemast.admission.RetryDelay;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,62 +17,62 @@
 import java.util.function.Predicate;
 
 /**
- * The policy. Events, actions and records: {@code Balancer}; what each defence covers: docs/design/module.md.
- * The key table (or, after a miss, the origin) gives a request its server; it waits in that server's queue
- * for the earliest free lane, and is sent; each lane's {@link AdaptiveInterval} grows on failure and shrinks after
- * counted successes. All times are the caller's, in microseconds.
+ * The load balancing policy. Events, actions and records: {@link Balancer}; design: docs/design/module.md.
+ * The key table (or, after a cache miss, the origin) gives a request its server. It waits in that server's
+ * queue for the earliest free lane; lanes slow down on failure and speed up after counted successes. All
+ * times are the caller's, in microseconds.
  */
 public final class BalancingPolicy implements Balancer {
     private static final int LANES = 2;
-    /** A key moves when its server holds HIGH times the mean and another less than it; floors in requests. */
-    private static final double HIGH = 3;
-
-    private static final double HIGH_FLOOR = 8;
-    private static final double LOW_FLOOR = 2;
-    private static final int TABLE_SIZE = 1 << 13;
-    /** A key unused for this many cold times is forgotten, one at each key that comes new. */
-    private static final long FORGOTTEN = 4;
-    /** Deviations past the mean after which an unanswered request makes its server suspect. */
-    private static final double PATIENCE = 4;
-    /** What tells against a server that has not answered since, and from what sum on it is suspect. */
-    private static final int REFUSED = 4;
-
-    private static final int SILENT = 2;
-    private static final int BROKEN = 1;
-    private static final int CONVICTED = 4;
-    /** The same for a zone that is silent while others answer: three in a row, a refused connect as one. */
-    private static final int ZONE_CONVICTED = 6;
-    /** From CONVICTED on a class goes elsewhere, unless more than one server in so many fail it. */
-    private static final int FAULTY_PART = 2;
-    /** The part of the usual rate of fetches that the ledger's lanes still carry at the longest interval. */
-    private static final double LEDGER_LEAST = 0.4;
-
-    private static final double KEEPS_DOWN = 0.95;
-    private static final double KEEPS_UP = 1.02;
-    /** A fetch that took longer than this part of the aim tells that the ledger has no room. */
-    private static final double FETCH_LATE = 1.5;
-    /** Answers after which a class's usual time is known. */
-    private static final int ENOUGH = 64;
-    /** One server in so many may be suspect at a time; the operators have seen a sixth go silent. */
-    private static final int SUSPECT_PART = 3;
-    /** A server whose answers take this part of their aim has no room for work beyond a tenant's share. */
-    private static final double PRESSED = 0.5;
-    /** Retries that each served request earns, and how many may be saved: they must not feed their cause. */
-    private static final double RETRY_SHARE = 0.2;
-
-    private static final double RETRY_BURST = 10;
-    /** Part of the requests that may try suspect servers, however many there are. */
-    private static final double TRIAL_SHARE = 0.1;
-    /** Times its homes' part of all requests that a key must be asked for to get more homes. */
-    private static final double HOT = 2;
-    /** Weight of a server of the own zone in the order of a key with copies. */
-    private static final double NEAR = 8;
-
-    /** What a cold server may get over its part of a warm one's usual work. */
-    private static final double COLD_ROOM = 1.5;
-    /** So many wanted times after its arrival a request that has only waited leaves no more. */
-    private static final double LATE = 1.7;
-    /** Never more than this part of that is expected: what is only believed must go on being tried. */
+    /** A key leaves a server with this many times the mean load for one below it; floors in requests. */
+    private static final double HIGH_LOAD_FACTOR = 3;
+
+    private static final double HIGH_LOAD = 8;
+    private static final double LOW_LOAD = 2;
+    private static final int KEY_TABLE_SIZE = 1 << 13;
+    /** Cold times after which an unused key is removed; each new key removes at most one. */
+    private static final long KEY_TTL = 4;
+    /** Deviations above the mean latency after which an unanswered request makes its server suspect. */
+    private static final double SUSPECT_DEVIATIONS = 4;
+    /** Weights of failures of a server that has not answered since, and the sum that makes it suspect. */
+    private static final int CONNECT_WEIGHT = 4;
+
+    private static final int SILENCE_WEIGHT = 2;
+    private static final int RESET_WEIGHT = 1;
+    private static final int FAULT_LIMIT = 4;
+    /** The same for a zone while others answer: three timeouts in a row; a refused connect counts as one. */
+    private static final int ZONE_FAULT_LIMIT = 6;
+    /** A class at the limit avoids the server, unless more than one server in this many fails the class. */
+    private static final int COMMON_FAULT_DIVISOR = 2;
+    /** Fraction of the usual fetch rate that the pacer's lanes still carry at their longest interval. */
+    private static final double MIN_FETCH_RATE = 0.4;
+
+    private static final double RETENTION_DECREASE = 0.95;
+    private static final double RETENTION_INCREASE = 1.02;
+    /** A fetch that takes more than this many target latencies shows that the origin is overloaded. */
+    private static final double LATE_FETCH = 1.5;
+    /** Responses after which the latency estimate of a class is trusted. */
+    private static final int MIN_SAMPLES = 64;
+    /** One server in this many may be suspect at a time; operators have seen a sixth of them fail at once. */
+    private static final int SUSPECT_DIVISOR = 3;
+    /** Latency, as a fraction of the target, from which a server takes no work beyond a tenant's share. */
+    private static final double BUSY_RATIO = 0.5;
+    /** Retries earned by each served request and their maximum balance: retries must not amplify overload. */
+    private static final double RETRY_RATIO = 0.2;
+
+    private static final double MAX_RETRY_BUDGET = 10;
+    /** Fraction of requests that may be sent to suspect servers as trials, however many are suspect. */
+    private static final double TRIAL_RATIO = 0.1;
+    /** A key gets more homes when its rate exceeds this many times its homes' share of all requests. */
+    private static final double HOT_KEY_FACTOR = 2;
+    /** Rendezvous weight factor of servers in the local zone, for a key with several homes. */
+    private static final double LOCAL_FACTOR = 8;
+
+    /** Rate of a cold server relative to its warmth's share of a warm server's usual rate. */
+    private static final double COLD_RATE_FACTOR = 1.5;
+    /** Target latencies after its arrival when a request that has never been sent is refused. */
+    private static final double MAX_WAIT = 1.7;
+    /** Cap on the expected latency as a fraction of MAX_WAIT, so that a stale estimate still gets tried. */
     private static final double EXPECTED = 0.9;
 
     private final Actions actions;
@@ -80,98 +80,98 @@
     private Settings settings;
     private long now;
     private long shortestDeadline;
-    private long shortestAim;
+    private long shortestTarget;
     private int salt;
     private long sequence;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private Target origin;
-    /** The servers of each zone as one: thin traffic tells of a zone long before it tells of each of them. */
+    /** Each zone as one target: at low traffic a failed zone shows long before each of its servers does. */
     private final Map<Integer, Target> zones = new HashMap<>();
-    /** Where servers fetch for themselves: lanes that pace what will probably be fetched, at any of them. */
-    private Target ledger;
-
-    private final FetchLimit fetching = new FetchLimit();
-    private final Map<String, Held> open = new HashMap<>();
-    private final LinkedHashSet<Held> homeless = new LinkedHashSet<>();
-    private final Map<String, Held> fetches = new HashMap<>();
-    private final Map<String, Home> table = new LinkedHashMap<>(16, 0.75f, true) {
+    /** Paces requests that probably cause a fetch, at any server, if servers fetch from the origin. */
+    private Target pacer;
+
+    private final FetchLimit fetchLimit = new FetchLimit();
+    private final Map<String, Call> calls = new HashMap<>();
+    private final LinkedHashSet<Call> unassigned = new LinkedHashSet<>();
+    private final Map<String, Call> fetches = new HashMap<>();
+    private final Map<String, Home> homes = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Home> eldest) {
-            return size() > TABLE_SIZE || now - eldest.getValue().used > FORGOTTEN * settings.coldTime();
+            return size() > KEY_TABLE_SIZE || now - eldest.getValue().usedAt > KEY_TTL * settings.coldTime();
         }
     };
-    private final Alarms alarms = new Alarms();
-    private AdaptiveInterval listSleeper;
+    private final TimerQueue timers = new TimerQueue();
+    private AdaptiveInterval listBackoff;
     private Rate arrivals;
-    /** Answers of warm servers, and the weights of these and of all at the last look at the whole fleet. */
-    private Rate carried;
+    /** Responses of warm servers; weights of the warm and of all servers when the fleet was last scanned. */
+    private Rate warmRate;
 
     private double warmWeights;
     private double allWeights;
-    private double unit;
-    private boolean someSuspect;
-    private boolean tells; // whether answers tell what was fetched
-    /** How long after its fetch a copy is taken for kept; learned from forecasts that failed. */
-    private double keeps;
+    private double meanWeight;
+    private boolean anySuspect;
+    private boolean reportsCacheStatus; // whether responses carry a cache status
+    /** How long a fetched response is assumed to stay cached; learned from wrong predictions. */
+    private double ttl;
 
     private TenantShares shares;
-    private final List<Estimate> cacheTimes = new ArrayList<>();
-    private Estimate originTime;
-    private double retries = RETRY_BURST;
+    private final List<Estimate> latencies = new ArrayList<>();
+    private Estimate originLatency;
+    private double retryBudget = MAX_RETRY_BUDGET;
     private double trials;
-    private final RetryDelay comeBack = new RetryDelay();
-    private final Window taken = new Window();
-    private final Window resent = new Window();
-    private final long[] given = new long[UnservedReason.values().length];
+    private final RetryDelay delays = new RetryDelay();
+    private final Window requests = new Window();
+    private final Window resends = new Window();
+    private final long[] unserved = new long[UnservedReason.values().length];
 
-    /** A balancer that issues its actions to {@code actions}. */
+    /** Creates a balancer that issues its actions to {@code actions}. */
     public BalancingPolicy(Actions actions) {
         this.actions = actions;
     }
 
-    /** A cache server or the origin, with what is held for it and what is known of its health. */
+    /** A cache server, the origin, a zone or the pacer: its queue, lanes and health. */
     private final class Target {
         final String id;
         final long hash;
         final List<Lane> lanes = new ArrayList<>();
         final Rate rate = new Rate(Math.max(settings.coldTime() / 4.0, shortestDeadline));
-        final AdaptiveInterval trials =
-                new AdaptiveInterval(random, shortestDeadline / Lane.MAX_PART, shortestDeadline);
-        final TreeSet<Held> queue = new TreeSet<>(Held.LEAVING);
-        final LinkedHashSet<Held> inFlight = new LinkedHashSet<>();
-        final List<Faults> faults = new ArrayList<>();
+        final AdaptiveInterval backoff =
+                new AdaptiveInterval(random, shortestDeadline / Lane.MAX_DIVISOR, shortestDeadline);
+        final TreeSet<Call> queue = new TreeSet<>(Call.DISPATCH_ORDER);
+        final LinkedHashSet<Call> inFlight = new LinkedHashSet<>();
+        final List<ClassFaults> faults = new ArrayList<>();
         Server entry;
-        Target zone; // null for a zone, the origin and the ledger
-        long lastAnswer;
+        Target zone; // null for a zone, the origin and the pacer
+        long lastAnswerAt;
         long coldSince = Long.MIN_VALUE;
-        /** What a cold server may be sent, earned over time; a send takes 1. */
-        double credit;
+        /** Token bucket of a cold server; a send takes 1. */
+        double coldCredit;
 
-        long creditAt;
-        long pumpAt = Long.MAX_VALUE;
-        long trialAt;
+        long coldCreditAt;
+        long dispatchAt = Long.MAX_VALUE;
+        long nextTrialAt;
         boolean suspect;
-        int doubts;
+        int suspicion;
         double slowness;
-        double answer; // what one usually takes
-        /** The quickest answer so far: the way there and back, which no restraint shortens. */
-        long quickest = Long.MAX_VALUE;
+        double meanLatency; // smoothed
+        /** Lowest latency so far: the network round trip, which sending less does not shorten. */
+        long minLatency = Long.MAX_VALUE;
 
         Target(Server entry) {
             this.id = entry.id();
-            this.hash = Measures.hash(entry.id());
+            this.hash = Stats.hash(entry.id());
             this.entry = entry;
-            this.lastAnswer = now;
+            this.lastAnswerAt = now;
             for (int i = 0; i < LANES; i++) {
                 lanes.add(new Lane(random, shortestDeadline));
             }
         }
 
-        Faults faults(int requestClass) {
+        ClassFaults faults(int requestClass) {
             while (faults.size() <= requestClass) {
-                faults.add(new Faults(settings.classes().get(faults.size()).effect()));
+                faults.add(new ClassFaults(settings.classes().get(faults.size()).effect()));
             }
             return faults.get(requestClass);
         }
@@ -182,18 +182,18 @@
 
         ServerView view() {
             long mean = lanes.stream().mapToLong(lane -> lane.currentInterval).sum() / lanes.size();
-            int out = (int) faults.stream().filter(fault -> fault.out).count();
-            int waiting = queue.size();
+            int out = (int) faults.stream().filter(fault -> fault.excluded).count();
+            int queued = queue.size();
             int sent = inFlight.size();
             return new ServerView(
-                    id, entry.state(), silent(), warmth(), lanes.size(), mean, waiting, sent, out, slowness);
+                    id, entry.state(), isSilent(), warmth(), lanes.size(), mean, queued, sent, out, slowness);
         }
 
-        boolean silent() {
+        boolean isSilent() {
             return suspect || zone != null && zone.suspect;
         }
 
-        /** Whether that is this server, or one of this zone. */
+        /** Whether {@code other} is this server or belongs to this zone. */
         boolean covers(Target other) {
             return other == this || other.zone == this;
         }
@@ -202,81 +202,81 @@
             return (queue.size() + inFlight.size()) / entry.weight();
         }
 
-        Lane earliest() {
+        Lane nextLane() {
             Lane best = lanes.get(0);
             for (Lane lane : lanes) {
-                lane.rest(now);
+                lane.decayWhileIdle(now);
                 if (lane.readyAt() < best.readyAt()
-                        || lane.readyAt() == best.readyAt() && lane.restSince < best.restSince) {
+                        || lane.readyAt() == best.readyAt() && lane.idleSince < best.idleSince) {
                     best = lane;
                 }
             }
             return best;
         }
 
-        boolean room() {
-            boolean bounded = this == ledger && originTime.samples >= ENOUGH;
-            return !bounded || fetching.room(now, rate.peak, shortestAim, shortestDeadline);
+        boolean hasSlot() {
+            boolean bounded = this == pacer && originLatency.samples >= MIN_SAMPLES;
+            return !bounded || fetchLimit.hasCapacity(now, rate.peak, shortestTarget, shortestDeadline);
         }
 
-        /** When a request with {@code ahead} others before it may leave. */
-        long leaves(int ahead) {
+        /** When a request with {@code ahead} others before it may be sent. */
+        long departureTime(int ahead) {
             long sum = 0;
             long first = Long.MAX_VALUE;
             for (Lane lane : lanes) {
-                sum += lane.currentInterval + (lane.currentInterval > 0 ? (long) answer : 0);
-                first = Math.min(first, lane.restSince + lane.currentInterval);
+                sum += lane.currentInterval + (lane.currentInterval > 0 ? (long) meanLatency : 0);
+                first = Math.min(first, lane.idleSince + lane.currentInterval);
             }
-            double full = room() ? 0 : ahead * Measures.MICROS / Math.max(1, rate.at(now));
+            double full = hasSlot() ? 0 : ahead * Stats.SECOND / Math.max(1, rate.at(now));
             long queued = Math.max((long) full, ahead * sum / lanes.size() / lanes.size());
-            return Math.max(Math.max(now, first), coldWait()) + queued;
+            return Math.max(Math.max(now, first), coldReadyAt()) + queued;
         }
 
-        /** Keeps as many lanes as carry the usual rate at the longest interval and the time of an answer. */
-        void servedOne(long elapsed) {
+        /** Adds a lane if the present ones could not carry the usual rate at the longest interval. */
+        void recordServed(long elapsed) {
             rate.add(now);
-            answer = answer == 0 ? elapsed : Measures.smooth(answer, elapsed);
-            double usual = Math.min(answer, PRESSED * shortestAim);
-            double least = this == ledger ? LEDGER_LEAST : 1;
-            if (least * rate.peak * (lanes.get(0).maxInterval + usual) > lanes.size() * Measures.MICROS) {
+            meanLatency = meanLatency == 0 ? elapsed : Stats.smooth(meanLatency, elapsed);
+            double usual = Math.min(meanLatency, BUSY_RATIO * shortestTarget);
+            double least = this == pacer ? MIN_FETCH_RATE : 1;
+            if (least * rate.peak * (lanes.get(0).maxInterval + usual) > lanes.size() * Stats.SECOND) {
                 lanes.add(new Lane(random, shortestDeadline));
             }
         }
 
-        /** Whether an answer took so long of what the way leaves of its aim that the server has no room. */
-        boolean late(long elapsed, long aim) {
-            quickest = Math.min(quickest, elapsed);
-            double way = Math.min(quickest, aim * PRESSED);
-            return elapsed - way > PRESSED * (aim - way);
+        /** Whether the latency without the round trip is so near the target that the server is overloaded. */
+        boolean isLate(long elapsed, long target) {
+            minLatency = Math.min(minLatency, elapsed);
+            double roundTrip = Math.min(minLatency, target * BUSY_RATIO);
+            return elapsed - roundTrip > BUSY_RATIO * (target - roundTrip);
         }
 
-        boolean pressed() {
-            return slowness > PRESSED || earliest().readyAt() > now || !queue.isEmpty();
+        boolean isBusy() {
+            return slowness > BUSY_RATIO || nextLane().readyAt() > now || !queue.isEmpty();
         }
 
-        void cool(long since) {
+        void markCold(long since) {
             coldSince = since;
-            credit = random.nextDouble();
-            creditAt = now;
+            coldCredit = random.nextDouble();
+            coldCreditAt = now;
         }
 
         /**
-         * Until when a cold server's allowance is used up. It earns its part of what warm ones carry from
-         * here, by weight (of all requests where none is warm), from a chance point on: so sums hold too.
+         * When a cold server may get its next request. It earns its share, by weight, of what warm servers
+         * carry from here (of all requests if none is warm). The random start bounds sums over balancers too.
          */
-        long coldWait() {
+        long coldReadyAt() {
             if (warmth() == 1) {
                 return 0;
             }
-            double usual = warmWeights > 0 ? carried.at(now) / warmWeights : arrivals.at(now) / allWeights;
-            double perMicro = COLD_ROOM * warmth() * usual * entry.weight() / Measures.MICROS;
-            credit = Math.min(1, credit + (now - creditAt) * perMicro);
-            creditAt = now;
-            double earned = now + 1 + (1 - credit) / perMicro;
-            return credit >= 1 ? 0 : (long) Math.min(coldSince + settings.coldTime(), earned);
+            double usual = warmWeights > 0 ? warmRate.at(now) / warmWeights : arrivals.at(now) / allWeights;
+            double perMicro = COLD_RATE_FACTOR * warmth() * usual * entry.weight() / Stats.SECOND;
+            coldCredit = Math.min(1, coldCredit + (now - coldCreditAt) * perMicro);
+            coldCreditAt = now;
+            double earned = now + 1 + (1 - coldCredit) / perMicro;
+            return coldCredit >= 1 ? 0 : (long) Math.min(coldSince + settings.coldTime(), earned);
         }
 
-        /** The part of its full capacity that a server can be trusted with, 1 when warm. */
+        /** Fraction of its full capacity that the server is given, 1 when warm. */
         double warmth() {
             long age = now - coldSince;
             if (coldSince == Long.MIN_VALUE || age >= settings.coldTime()) {
@@ -286,183 +286,183 @@
         }
     }
 
-    /** What a server does to one class, while it answers others. */
-    private final class Faults {
-        final AdaptiveInterval trials;
-        double sum;
-        boolean out;
+    /** Failures of one request class at a server that answers other classes. */
+    private final class ClassFaults {
+        final AdaptiveInterval backoff;
+        double score;
+        boolean excluded;
         long trialAt;
 
-        /** A trial of what may not be repeated is lost if it fails, so there are few. */
-        Faults(Effect effect) {
+        /** A failed trial of a request that must not be repeated is lost, so such trials are rare. */
+        ClassFaults(Effect effect) {
             long first = Math.max(shortestDeadline, effect == Effect.SAFE ? 0 : settings.coldTime() / 2);
-            trials = new AdaptiveInterval(random, first, 4 * first);
+            backoff = new AdaptiveInterval(random, first, 4 * first);
         }
 
-        boolean failing() {
-            return sum >= CONVICTED;
+        boolean isFailing() {
+            return score >= FAULT_LIMIT;
         }
 
-        void leaveOutIfFailing(boolean allowed) {
-            if (out != (allowed && failing())) {
-                out = !out;
-                trials.currentInterval = 0;
+        void updateExclusion(boolean allowed) {
+            if (excluded != (allowed && isFailing())) {
+                excluded = !excluded;
+                backoff.currentInterval = 0;
                 trialAt = 0;
-                rest();
+                scheduleTrial();
             }
         }
 
-        /** While a server is left out, each try puts the next one off. */
-        void rest() {
-            if (out && now >= trialAt) {
-                trials.goUp();
-                trialAt = now + trials.currentInterval;
+        /** While the class is excluded, each trial postpones the next one. */
+        void scheduleTrial() {
+            if (excluded && now >= trialAt) {
+                backoff.increase();
+                trialAt = now + backoff.currentInterval;
             }
         }
 
-        boolean shut() {
-            return out && now < trialAt;
+        boolean isBlocked() {
+            return excluded && now < trialAt;
         }
     }
 
-    /** Where a key lives, and since when nobody asked. */
+    /** The home server of a key, and when it was last requested. */
     private static final class Home {
         Target target;
-        long used;
-        long served;
+        long usedAt;
+        long servedAt;
         double interval;
-        int copies = 1;
-        /** The server that has answered a read of it last, and when; what it keeps needs no fetch there. */
-        Target kept;
+        int homeCount = 1;
+        /** The server that last answered a read of the key and so has it cached, and since when. */
+        Target holder;
 
-        long keptAt;
+        long heldAt;
 
         Home(long now) {
-            used = now;
+            usedAt = now;
         }
 
-        /** A key served well over once in {@code part} seconds, a server's part, gets twice as many homes. */
-        void servedOne(long now, double part) {
-            interval = served == 0 ? 0 : interval == 0 ? now - served : (interval + now - served) / 2;
-            served = now;
-            if (interval > 0 && part * Measures.MICROS > HOT * copies * interval) {
-                copies *= 2;
+        /** Doubles the homes of a key whose rate is far above a server's share, {@code ratePerServer}. */
+        void recordServed(long now, double ratePerServer) {
+            interval = servedAt == 0 ? 0 : interval == 0 ? now - servedAt : (interval + now - servedAt) / 2;
+            servedAt = now;
+            if (interval > 0 && ratePerServer * Stats.SECOND > HOT_KEY_FACTOR * homeCount * interval) {
+                homeCount *= 2;
                 target = null;
             }
         }
     }
 
-    /** A request that is owed an answer or has an attempt out. */
-    private static final class Held {
-        static final Comparator<Held> LEAVING =
-                (a, b) -> a.worth == b.worth ? Long.compare(b.order, a.order) : a.worth > b.worth ? -1 : 1;
+    /** A request that is owed an answer or has an attempt in flight. */
+    private static final class Call {
+        static final Comparator<Call> DISPATCH_ORDER =
+                (a, b) -> a.rank == b.rank ? Long.compare(b.order, a.order) : a.rank > b.rank ? -1 : 1;
         final Request request;
         final RequestClass type;
         final long order;
-        final double worth;
-        final boolean over;
-        final long useful;
-        final List<Held> followers = new ArrayList<>(0);
-        /** Servers that turned it away or left it without an answer. */
+        final double rank;
+        final boolean overShare;
+        final long lateAt;
+        final List<Call> followers = new ArrayList<>(0);
+        /** Servers that refused it or did not answer it. */
         final List<Target> failedAt = new ArrayList<>(0);
 
         int attempts;
-        int most;
+        int maxAttempts;
         boolean answered;
         boolean missed;
-        /** Its last attempt was a miss, so that the next is outside the ration. */
-        boolean unrationed;
+        /** Its last attempt was a cache miss, so the next one is exempt from the resend limit. */
+        boolean resendExempt;
 
         Target queuedAt;
-        Target out;
+        Target sentTo;
         Lane lane;
-        /** The ledger's lane that it holds, if it will probably be fetched. */
-        Lane fetch;
+        /** The pacer's lane that it occupies, if it will probably cause a fetch. */
+        Lane fetchLane;
 
-        FetchLimit.Fetch asked;
+        FetchLimit.Fetch fetch;
         long sentAt;
-        /** Server and time of the first attempt that may have run, once there is one. */
-        Server ranAt;
+        /** Server and time of the first attempt that may have been executed, if any. */
+        Server ranOn;
 
         long ranSince;
 
-        Held(Request request, RequestClass type, long order, double worth, boolean over, long useful) {
+        Call(Request request, RequestClass type, long order, double rank, boolean overShare, long lateAt) {
             this.request = request;
             this.type = type;
             this.order = order;
-            this.worth = worth;
-            this.over = over;
-            this.useful = useful;
+            this.rank = rank;
+            this.overShare = overShare;
+            this.lateAt = lateAt;
         }
 
-        long until() {
-            return attempts == 0 ? useful : request.expiresAt();
+        long dueAt() {
+            return attempts == 0 ? lateAt : request.expiresAt();
         }
     }
 
-    // ---- events
-
-    private void take(Settings given) {
-        given.check(Lane.INITIAL_PART);
-        settings = given;
-        List<RequestClass> all = given.classes();
-        shortestDeadline = all.stream().mapToLong(RequestClass::deadline).min().getAsLong();
-        shortestAim = all.stream().mapToLong(RequestClass::targetLatency).min().getAsLong();
-        while (cacheTimes.size() < all.size()) {
-            cacheTimes.add(new Estimate(all.get(cacheTimes.size()).targetLatency() / 4.0));
+    private void apply(Settings next) {
+        next.check(Lane.INITIAL_DIVISOR);
+        settings = next;
+        List<RequestClass> classes = next.classes();
+        shortestDeadline =
+                classes.stream().mapToLong(RequestClass::deadline).min().getAsLong();
+        shortestTarget =
+                classes.stream().mapToLong(RequestClass::targetLatency).min().getAsLong();
+        while (latencies.size() < classes.size()) {
+            latencies.add(new Estimate(classes.get(latencies.size()).targetLatency() / 4.0));
         }
     }
 
     @Override
-    public void reconfigure(long time, Settings given) {
+    public void reconfigure(long time, Settings next) {
         now = time;
-        boolean others = !given.tenants().equals(settings.tenants());
-        take(given);
-        shares = others ? new TenantShares(given.tenants(), given.balancers(), shares.span, arrivals) : shares;
-        shares.balancers = given.balancers();
+        boolean changed = !next.tenants().equals(settings.tenants());
+        apply(next);
+        shares = changed ? new TenantShares(next.tenants(), next.balancers(), shares.span, arrivals) : shares;
+        shares.balancers = next.balancers();
     }
 
     @Override
-    public void start(long time, long seed, Settings given) {
+    public void start(long time, long seed, Settings initial) {
         now = time;
-        take(given);
+        apply(initial);
         random = new SplittableRandom(seed);
         salt = random.nextInt();
-        originTime = new Estimate(shortestAim / 4.0);
-        double span = Math.max(given.coldTime() / 4.0, shortestDeadline);
+        originLatency = new Estimate(shortestTarget / 4.0);
+        double span = Math.max(initial.coldTime() / 4.0, shortestDeadline);
         arrivals = new Rate(span);
-        carried = new Rate(span);
-        shares = new TenantShares(given.tenants(), given.balancers(), span, arrivals);
-        if (given.originKind() < 0) {
-            ledger = new Target(new Server("ledger", 0, 0, 0, State.READY, 1, 0));
-            keeps = FORGOTTEN * given.coldTime();
-        }
-        if (given.listMustBeAsked()) {
-            long within = given.listAskWithin();
-            listSleeper = new AdaptiveInterval(random, within / Lane.INITIAL_PART, within / Lane.MAX_PART);
+        warmRate = new Rate(span);
+        shares = new TenantShares(initial.tenants(), initial.balancers(), span, arrivals);
+        if (initial.originKind() < 0) {
+            pacer = new Target(new Server("ledger", 0, 0, 0, State.READY, 1, 0));
+            ttl = KEY_TTL * initial.coldTime();
+        }
+        if (initial.listMustBeAsked()) {
+            long wait = initial.listAskWithin();
+            listBackoff = new AdaptiveInterval(random, wait / Lane.INITIAL_DIVISOR, wait / Lane.MAX_DIVISOR);
             actions.subscribe();
         }
-        alarms.arm(actions);
+        timers.arm(actions);
     }
 
     @Override
     public void servers(long time, ListKind kind, List<Server> entries) {
         now = time;
         if (kind == ListKind.FAILED) {
-            if (listSleeper != null) {
-                listSleeper.goUp();
-                alarms.set(now + listSleeper.currentInterval, actions::subscribe);
+            if (listBackoff != null) {
+                listBackoff.increase();
+                timers.schedule(now + listBackoff.currentInterval, actions::subscribe);
             }
-            alarms.arm(actions);
+            timers.arm(actions);
             return;
         }
-        if (listSleeper != null && kind != ListKind.CACHED) {
-            listSleeper.currentInterval = 0;
+        if (listBackoff != null && kind != ListKind.CACHED) {
+            listBackoff.currentInterval = 0;
         }
         LinkedHashSet<String> listed = new LinkedHashSet<>();
         for (Server entry : entries) {
             listed.add(entry.id());
-            learn(entry);
+            updateServer(entry);
         }
         List<Target> known = new ArrayList<>(targets.values());
         known.addAll(origin == null ? List.of() : List.of(origin));
@@ -478,11 +478,11 @@
                 }
             }
         }
-        reroute(homeless);
-        alarms.arm(actions);
+        reroute(unassigned);
+        timers.arm(actions);
     }
 
-    private void learn(Server entry) {
+    private void updateServer(Server entry) {
         boolean isOrigin = entry.kind() == settings.originKind();
         boolean known = isOrigin && origin != null && origin.id.equals(entry.id());
         Target target = known ? origin : targets.get(entry.id());
@@ -495,7 +495,7 @@
                 target.zone = zones.computeIfAbsent(
                         entry.zone(), z -> new Target(new Server("zone " + z, z, 0, 0, State.READY, 1, 0)));
                 if (entry.startedAt() > 0) {
-                    target.cool(entry.startedAt());
+                    target.markCold(entry.startedAt());
                 }
             }
             return;
@@ -504,79 +504,79 @@
         target.entry = entry;
         if (restarted && !isOrigin) {
             target.faults.clear();
-            revive(target);
-            target.cool(Math.max(entry.startedAt(), target.coldSince));
+            clearSuspicion(target);
+            target.markCold(Math.max(entry.startedAt(), target.coldSince));
         }
     }
 
     @Override
     public void request(long time, Request request) {
         now = time;
-        if (open.containsKey(request.id())) {
+        if (calls.containsKey(request.id())) {
             return;
         }
         RequestClass type = settings.classes().get(request.requestClass());
-        boolean over = shares.over(now, request.tenant());
-        double worth = type.importance() * (over ? settings.overShareFactor() : 1);
-        long useful = Math.min(request.expiresAt(), (long) (now + LATE * type.targetLatency()));
-        Held held = new Held(request, type, sequence++, worth, over, useful);
-        held.most = settings.maxAttempts();
-        open.put(request.id(), held);
+        boolean overShare = shares.recordRequest(now, request.tenant());
+        double rank = type.importance() * (overShare ? settings.overShareFactor() : 1);
+        long lateAt = Math.min(request.expiresAt(), (long) (now + MAX_WAIT * type.targetLatency()));
+        Call call = new Call(request, type, sequence++, rank, overShare, lateAt);
+        call.maxAttempts = settings.maxAttempts();
+        calls.put(request.id(), call);
         arrivals.add(now);
         if (settings.resendSpan() > 0) {
-            taken.add(now);
+            requests.add(now);
         }
-        alarms.set(request.expiresAt(), () -> conclude(held, UnservedReason.TIME_UP));
-        alarms.set(held.useful - typical(held, null), () -> unsent(held));
-        alarms.set(request.expiresAt() - typical(held, null), () -> unsent(held));
-        route(held);
-        alarms.arm(actions);
+        timers.schedule(request.expiresAt(), () -> endUnserved(call, UnservedReason.TIME_UP));
+        timers.schedule(call.lateAt - expectedLatency(call, null), () -> recheckWaiting(call));
+        timers.schedule(request.expiresAt() - expectedLatency(call, null), () -> recheckWaiting(call));
+        route(call);
+        timers.arm(actions);
     }
 
     @Override
     public void outcome(long time, Outcome o) {
         now = time;
-        Held held = open.get(o.request());
-        if (held == null || held.out == null || o.attempt() != held.attempts - 1) {
+        Call call = calls.get(o.request());
+        if (call == null || call.sentTo == null || o.attempt() != call.attempts - 1) {
             return;
         }
-        Target target = held.out;
-        held.out = null;
-        target.inFlight.remove(held);
-        held.lane.out--;
-        held.lane.restSince = now;
-        feedback(held, target, o);
-        letGo(held, o.cacheStatus() == CacheStatus.HIT, o.code() != Code.CANCELLED && o.code() != Code.TIMEOUT);
-        if (o.code().mayHaveRun && held.ranAt == null) {
-            held.ranAt = target.entry;
-            held.ranSince = held.sentAt;
-        }
-        held.answered |= o.requestFinished();
-        if (held.answered) {
-            finish(held);
+        Target target = call.sentTo;
+        call.sentTo = null;
+        target.inFlight.remove(call);
+        call.lane.inFlight--;
+        call.lane.idleSince = now;
+        recordOutcome(call, target, o);
+        end(call, o.cacheStatus() == CacheStatus.HIT, o.code() != Code.CANCELLED && o.code() != Code.TIMEOUT);
+        if (o.code().mayHaveRun && call.ranOn == null) {
+            call.ranOn = target.entry;
+            call.ranSince = call.sentAt;
+        }
+        call.answered |= o.requestFinished();
+        if (call.answered) {
+            finish(call);
         } else {
-            react(held, target, o);
+            retryOrFinish(call, target, o);
         }
-        pump(target);
-        alarms.arm(actions);
+        dispatch(target);
+        timers.arm(actions);
     }
 
     @Override
     public void abandoned(long time, String request) {
         now = time;
-        Held held = open.get(request);
-        if (held != null) {
-            held.answered = true;
-            finish(held);
+        Call call = calls.get(request);
+        if (call != null) {
+            call.answered = true;
+            finish(call);
         }
-        alarms.arm(actions);
+        timers.arm(actions);
     }
 
     @Override
     public void timer(long time, long token) {
         now = time;
-        alarms.run(now, token);
-        alarms.arm(actions);
+        timers.runDue(now, token);
+        timers.arm(actions);
     }
 
     @Override
@@ -584,350 +584,349 @@
         now = time;
         List<ServerView> views =
                 new ArrayList<>(targets.values().stream().map(Target::view).toList());
-        views.addAll(ledger == null ? List.of() : List.of(ledger.view()));
-        return new View(views, homeless.size(), open.size(), retries, given.clone());
+        views.addAll(pacer == null ? List.of() : List.of(pacer.view()));
+        return new View(views, unassigned.size(), calls.size(), retryBudget, unserved.clone());
     }
 
-    // ---- the way of a request
-
-    private void route(Held held) {
-        if (held.answered) {
+    private void route(Call call) {
+        if (call.answered) {
             return;
         }
-        String key = held.request.key();
-        if (held.attempts >= held.most || now >= held.request.expiresAt() || !mayRepeat(held)) {
-            conclude(held, UnservedReason.SPENT);
+        String key = call.request.key();
+        if (call.attempts >= call.maxAttempts || now >= call.request.expiresAt() || !mayRepeat(call)) {
+            endUnserved(call, UnservedReason.SPENT);
             return;
         }
-        boolean aside = settings.originKind() >= 0;
-        Target target = aside && (held.request.write() || held.missed) ? origin : choose(held);
-        boolean shared = aside && !held.request.write() && key != null;
-        if (shared && follows(held)) {
+        boolean cacheAside = settings.originKind() >= 0;
+        Target target = cacheAside && (call.request.write() || call.missed) ? origin : chooseServer(call);
+        boolean cacheable = cacheAside && !call.request.write() && key != null;
+        if (cacheable && joinFetch(call)) {
             return;
         }
-        if (shared && held.missed) {
-            fetches.put(key, held);
+        if (cacheable && call.missed) {
+            fetches.put(key, call);
         }
         if (target == null || !target.ready()) {
-            homeless.add(held);
+            unassigned.add(call);
             return;
         }
-        if (held.over && target.pressed()) {
-            conclude(held, UnservedReason.OVER_SHARE);
+        if (call.overShare && target.isBusy()) {
+            endUnserved(call, UnservedReason.OVER_SHARE);
             return;
         }
-        if (ledger != null && held.fetch == null && fetched(held, target)) {
-            if (follows(held)) {
+        if (pacer != null && call.fetchLane == null && needsFetch(call, target)) {
+            if (joinFetch(call)) {
                 return;
             }
-            if (ledger.queue.isEmpty() && ledger.room() && ledger.earliest().readyAt() <= now) {
-                hold(held, ledger.earliest());
-            } else if (held.over) {
-                conclude(held, UnservedReason.OVER_SHARE);
+            if (pacer.queue.isEmpty() && pacer.hasSlot() && pacer.nextLane().readyAt() <= now) {
+                startFetch(call, pacer.nextLane());
+            } else if (call.overShare) {
+                endUnserved(call, UnservedReason.OVER_SHARE);
                 return;
             } else {
-                target = ledger;
+                target = pacer;
             }
         }
-        target.queue.add(held);
-        held.queuedAt = target;
-        boolean free = target.room() && target.earliest().readyAt() <= now;
-        int ahead = free ? 0 : target.queue.headSet(held).size();
-        if (tooLate(held, target, ahead)) {
-            conclude(held, UnservedReason.NO_ROOM);
+        target.queue.add(call);
+        call.queuedAt = target;
+        boolean free = target.hasSlot() && target.nextLane().readyAt() <= now;
+        int ahead = free ? 0 : target.queue.headSet(call).size();
+        if (tooLate(call, target, ahead)) {
+            endUnserved(call, UnservedReason.NO_ROOM);
             return;
         }
-        pump(target);
-        // The newest leave first, so one more may be one too many for those behind: they are told at once.
+        dispatch(target);
+        // Newest first: one more may make those behind it too late, so they are refused at once.
         while (!target.queue.isEmpty() && tooLate(target.queue.last(), target, target.queue.size() - 1)) {
-            conclude(target.queue.last(), UnservedReason.NO_ROOM);
+            endUnserved(target.queue.last(), UnservedReason.NO_ROOM);
         }
     }
 
-    /** Whether a request with {@code ahead} others before it leaves too late to be answered in time. */
-    private boolean tooLate(Held held, Target target, int ahead) {
-        return target.leaves(ahead) > held.until() - typical(held, target);
+    /** Whether a request with {@code ahead} others before it is sent too late to be answered in time. */
+    private boolean tooLate(Call call, Target target, int ahead) {
+        return target.departureTime(ahead) > call.dueAt() - expectedLatency(call, target);
     }
 
-    /** Refuses what waits and could only come too late; looks again where less is expected than before. */
-    private void unsent(Held held) {
-        long last = held.until() - typical(held, null);
-        if (!held.answered && held.out == null && now >= last) {
-            conclude(held, homeless.contains(held) ? UnservedReason.NO_SERVER : UnservedReason.TIME_UP);
-        } else if (!held.answered && held.out == null) {
-            alarms.set(last, () -> unsent(held));
+    /** Refuses a waiting request that is too late; checks again later if the expected latency has fallen. */
+    private void recheckWaiting(Call call) {
+        long last = call.dueAt() - expectedLatency(call, null);
+        if (!call.answered && call.sentTo == null && now >= last) {
+            endUnserved(call, unassigned.contains(call) ? UnservedReason.NO_SERVER : UnservedReason.TIME_UP);
+        } else if (!call.answered && call.sentTo == null) {
+            timers.schedule(last, () -> recheckWaiting(call));
         }
     }
 
-    /** Whether a read of this key will probably be a fetch at that server; known only where answers tell. */
-    private boolean fetched(Held held, Target target) {
-        Home home = held.request.write() || held.request.key() == null ? null : table.get(held.request.key());
-        boolean known = tells && home != null;
-        return known && (home.kept != target || home.keptAt < target.coldSince || now - home.keptAt > keeps);
+    /** Whether a read probably causes a fetch there; known only if responses carry a cache status. */
+    private boolean needsFetch(Call call, Target target) {
+        Home home = call.request.write() || call.request.key() == null ? null : homes.get(call.request.key());
+        boolean known = reportsCacheStatus && home != null;
+        return known && (home.holder != target || home.heldAt < target.coldSince || now - home.heldAt > ttl);
     }
 
-    /** Waits for a fetch of its key that is out from here already, if one is. */
-    private boolean follows(Held held) {
-        Held leader = fetches.get(held.request.key());
-        return leader != null && leader != held && leader.followers.add(held);
+    /** Joins the fetch of its key that this balancer has in flight, if any (single flight). */
+    private boolean joinFetch(Call call) {
+        Call leader = fetches.get(call.request.key());
+        return leader != null && leader != call && leader.followers.add(call);
     }
 
-    private void hold(Held held, Lane lane) {
-        held.fetch = lane;
-        held.asked = fetching.send(now);
-        fetches.put(held.request.key(), held);
-        lane.restSince = now;
-        lane.out++;
+    private void startFetch(Call call, Lane lane) {
+        call.fetchLane = lane;
+        call.fetch = fetchLimit.send(now);
+        fetches.put(call.request.key(), call);
+        lane.idleSince = now;
+        lane.inFlight++;
     }
 
-    /** Gives its lane at the ledger back, rested where a hit shows that the ledger was asked for nothing. */
-    private void letGo(Held held, boolean unused, boolean over) {
-        if (held.fetch != null) {
-            held.fetch.out--;
-            held.fetch.restSince = now - (unused ? held.fetch.currentInterval : 0);
-            held.fetch = null;
+    /** Frees its lane of the pacer, without a pause if a cache hit shows that the origin was not used. */
+    private void end(Call call, boolean unused, boolean over) {
+        if (call.fetchLane != null) {
+            call.fetchLane.inFlight--;
+            call.fetchLane.idleSince = now - (unused ? call.fetchLane.currentInterval : 0);
+            call.fetchLane = null;
             if (over) {
-                fetching.over(held.asked);
+                fetchLimit.finish(call.fetch);
             }
-            release(held);
-            if (!ledger.queue.isEmpty()) {
-                alarms.set(now, () -> pump(ledger));
+            endFetch(call);
+            if (!pacer.queue.isEmpty()) {
+                timers.schedule(now, () -> dispatch(pacer));
             }
         }
     }
 
-    private long typical(Held held, Target target) {
-        boolean fetch = target != null && (target == origin || target == ledger || held.fetch != null);
-        Estimate usual = fetch ? originTime : cacheTimes.get(held.request.requestClass());
-        return (long) Math.min(usual.mean + usual.deviation, EXPECTED * LATE * held.type.targetLatency());
+    private long expectedLatency(Call call, Target target) {
+        boolean fetch = target != null && (target == origin || target == pacer || call.fetchLane != null);
+        Estimate usual = fetch ? originLatency : latencies.get(call.request.requestClass());
+        return (long) Math.min(usual.mean + usual.deviation, EXPECTED * MAX_WAIT * call.type.targetLatency());
     }
 
-    private void pump(Target target) {
+    private void dispatch(Target target) {
         while (!target.queue.isEmpty() && target.ready()) {
-            Lane lane = target.earliest();
-            long ready = Math.max(lane.readyAt(), target.coldWait());
-            ready = target.room() ? ready : Math.max(ready, now + shortestAim);
+            Lane lane = target.nextLane();
+            long ready = Math.max(lane.readyAt(), target.coldReadyAt());
+            ready = target.hasSlot() ? ready : Math.max(ready, now + shortestTarget);
             if (ready > now) {
-                if (ready < Long.MAX_VALUE && (ready < target.pumpAt || target.pumpAt <= now)) {
-                    target.pumpAt = ready;
-                    alarms.set(ready, () -> pump(target));
+                if (ready < Long.MAX_VALUE && (ready < target.dispatchAt || target.dispatchAt <= now)) {
+                    target.dispatchAt = ready;
+                    timers.schedule(ready, () -> dispatch(target));
                 }
                 return;
             }
-            Held held = target.queue.pollFirst();
-            held.queuedAt = null;
-            if (now + typical(held, target) > held.until() || !mayRepeat(held) || !mayResend(held)) {
-                conclude(held, UnservedReason.NO_ROOM);
-            } else if (target != ledger) {
-                send(held, target, lane);
-            } else if (!follows(held)) {
-                hold(held, lane);
-                route(held);
+            Call call = target.queue.pollFirst();
+            call.queuedAt = null;
+            if (now + expectedLatency(call, target) > call.dueAt() || !mayRepeat(call) || !mayResend(call)) {
+                endUnserved(call, UnservedReason.NO_ROOM);
+            } else if (target != pacer) {
+                send(call, target, lane);
+            } else if (!joinFetch(call)) {
+                startFetch(call, lane);
+                route(call);
             }
         }
     }
 
-    private void send(Held held, Target target, Lane lane) {
-        lane.restSince = now;
-        lane.out++;
-        held.lane = lane;
-        held.out = target;
-        held.sentAt = now;
-        if (settings.resendSpan() > 0 && held.attempts > 0 && !held.unrationed) {
-            resent.add(now);
-        }
-        held.unrationed = false;
-        int attempt = held.attempts++;
-        Home home = held.request.write() && held.request.key() != null ? table.get(held.request.key()) : null;
+    private void send(Call call, Target target, Lane lane) {
+        lane.idleSince = now;
+        lane.inFlight++;
+        call.lane = lane;
+        call.sentTo = target;
+        call.sentAt = now;
+        if (settings.resendSpan() > 0 && call.attempts > 0 && !call.resendExempt) {
+            resends.add(now);
+        }
+        call.resendExempt = false;
+        int attempt = call.attempts++;
+        Home home = call.request.write() && call.request.key() != null ? homes.get(call.request.key()) : null;
         if (home != null) {
-            home.kept = null;
+            home.holder = null;
         }
-        target.inFlight.add(held);
-        long until = held.request.expiresAt();
+        target.inFlight.add(call);
+        long until = call.request.expiresAt();
         if (target != origin) {
-            target.faults(held.request.requestClass()).rest();
-            target.credit -= 1;
-            Estimate usual = cacheTimes.get(held.request.requestClass());
-            // The first guess knows nothing of the way and of new connections.
-            long guess = usual.samples < ENOUGH ? held.type.targetLatency() : 0;
-            long patience = (long) Math.max(usual.mean + PATIENCE * usual.deviation, guess);
-            if (target.suspect && held.type.effect() == Effect.SAFE) {
+            target.faults(call.request.requestClass()).scheduleTrial();
+            target.coldCredit -= 1;
+            Estimate usual = latencies.get(call.request.requestClass());
+            // The initial estimate does not include the round trip and new connections.
+            long guess = usual.samples < MIN_SAMPLES ? call.type.targetLatency() : 0;
+            long patience = (long) Math.max(usual.mean + SUSPECT_DEVIATIONS * usual.deviation, guess);
+            if (target.suspect && call.type.effect() == Effect.SAFE) {
                 until = Math.min(until, now + patience);
             }
-            alarms.set(now + patience, () -> {
-                if (held.out == target && held.attempts == attempt + 1) {
-                    doubt(target, held.sentAt, SILENT);
-                    if (held.type.effect() == Effect.UNSAFE && target.lastAnswer >= held.sentAt) {
-                        fault(held, target, CONVICTED); // the next one must not wait as long to tell
+            timers.schedule(now + patience, () -> {
+                if (call.sentTo == target && call.attempts == attempt + 1) {
+                    addSuspicion(target, call.sentAt, SILENCE_WEIGHT);
+                    if (call.type.effect() == Effect.UNSAFE && target.lastAnswerAt >= call.sentAt) {
+                        recordFault(call, target, FAULT_LIMIT); // or the next one would wait as long
                     }
                 }
             });
         }
-        actions.send(held.request.id(), target.id, until);
+        actions.send(call.request.id(), target.id, until);
     }
 
-    /** Lane growth, health and estimates from one outcome. */
-    private void feedback(Held held, Target target, Outcome o) {
+    /** Updates lanes, health and estimates from one outcome. */
+    private void recordOutcome(Call call, Target target, Outcome o) {
         Code code = o.code();
         boolean fetch = o.cacheStatus() == CacheStatus.MISS || o.cacheStatus() == CacheStatus.MISS_FETCHING;
-        // Late answers are failures: a long waiting room never says "full". Fetches tell of the ledger.
+        // Late responses are failures, as a long queue never reports "full". Fetches reflect the origin.
         boolean failed = code == Code.FULL || code == Code.CONNECT_FAILED;
         failed |= code == Code.ERROR && target == origin;
-        failed |= code == Code.TIMEOUT && (held.fetch == null || target.lastAnswer < held.sentAt);
-        failed |= code == Code.OK && !fetch && target.late(o.elapsed(), held.type.targetLatency());
+        failed |= code == Code.TIMEOUT && (call.fetchLane == null || target.lastAnswerAt < call.sentAt);
+        failed |= code == Code.OK && !fetch && target.isLate(o.elapsed(), call.type.targetLatency());
         if (failed) {
-            held.lane.goUp();
+            call.lane.increase();
         } else if (!code.endedLocally && code != Code.TIMEOUT && code != Code.RESET && code != Code.ERROR) {
-            held.lane.success();
-        }
-        tells |= o.cacheStatus() != CacheStatus.NONE;
-        if (ledger != null && (held.fetch != null || fetch)) {
-            Lane lane = held.fetch != null ? held.fetch : ledger.earliest();
-            // Who left waited too long too. Where few fail a class, an error after good answers is theirs.
-            int type = held.request.requestClass();
-            if (code == Code.ERROR && (target.faults(type).sum < BROKEN || alike(type))
+            call.lane.recordSuccess();
+        }
+        reportsCacheStatus |= o.cacheStatus() != CacheStatus.NONE;
+        if (pacer != null && (call.fetchLane != null || fetch)) {
+            Lane lane = call.fetchLane != null ? call.fetchLane : pacer.nextLane();
+            // A late cancel is a timeout. If few servers fail the class, the error is not the origin's.
+            int type = call.request.requestClass();
+            if (code == Code.ERROR && (target.faults(type).score < RESET_WEIGHT || isCommonFault(type))
                     || code == Code.TIMEOUT
-                    || code == Code.CANCELLED && o.elapsed() > held.type.targetLatency()
-                    || fetch && o.elapsed() > FETCH_LATE * held.type.targetLatency()) {
-                lane.goUp();
-            } else if (code == Code.OK) { // a hit too: what fails is counted over both
-                lane.success();
+                    || code == Code.CANCELLED && o.elapsed() > call.type.targetLatency()
+                    || fetch && o.elapsed() > LATE_FETCH * call.type.targetLatency()) {
+                lane.increase();
+            } else if (code == Code.OK) { // also for hits, as failures are counted over both
+                lane.recordSuccess();
             }
             if (fetch && code == Code.OK) {
-                ledger.servedOne(o.elapsed());
-                if (held.fetch != null) {
-                    fetching.answered(held.asked, originTime.deviation);
+                pacer.recordServed(o.elapsed());
+                if (call.fetchLane != null) {
+                    fetchLimit.answered(call.fetch, originLatency.deviation);
                 }
-                originTime.add(o.elapsed());
+                originLatency.add(o.elapsed());
             }
         }
         if (code == Code.OK || code == Code.FULL || code == Code.ERROR || code == Code.MISS) {
-            heard(target);
+            recordAnswer(target);
         } else if (!o.code().endedLocally) {
-            int weight = code == Code.RESET ? BROKEN : SILENT;
-            doubt(target, held.sentAt, code == Code.CONNECT_FAILED ? REFUSED : weight);
+            int weight = code == Code.RESET ? RESET_WEIGHT : SILENCE_WEIGHT;
+            addSuspicion(target, call.sentAt, code == Code.CONNECT_FAILED ? CONNECT_WEIGHT : weight);
         }
         if (code == Code.ERROR) {
-            fault(held, target, SILENT);
+            recordFault(call, target, SILENCE_WEIGHT);
         }
         if (code == Code.OK || code == Code.MISS) {
-            Faults faults = target.faults(held.request.requestClass());
-            faults.sum /= 2;
-            faults.leaveOutIfFailing(faults.out);
-            target.servedOne(o.elapsed());
+            ClassFaults faults = target.faults(call.request.requestClass());
+            faults.score /= 2;
+            faults.updateExclusion(faults.excluded);
+            target.recordServed(o.elapsed());
             if (target != origin && target.warmth() == 1) {
-                carried.add(now);
+                warmRate.add(now);
             }
         }
         if (code == Code.OK) {
-            (target == origin ? originTime : cacheTimes.get(held.request.requestClass())).add(o.elapsed());
-            retries = Math.min(RETRY_BURST, retries + RETRY_SHARE);
-            comeBack.recordServed();
-            Home home = target == origin || held.request.key() == null ? null : table.get(held.request.key());
-            if (home != null && !held.request.write() && tells) {
-                if (fetch && held.fetch == null) {
-                    keeps = Math.max(shortestDeadline, keeps * KEEPS_DOWN);
-                } else if (!fetch && held.fetch != null && home.kept == target) {
-                    keeps = Math.min(FORGOTTEN * settings.coldTime(), keeps * KEEPS_UP);
+            (target == origin ? originLatency : latencies.get(call.request.requestClass())).add(o.elapsed());
+            retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRY_RATIO);
+            delays.recordServed();
+            Home home = target == origin || call.request.key() == null ? null : homes.get(call.request.key());
+            if (home != null && !call.request.write() && reportsCacheStatus) {
+                if (fetch && call.fetchLane == null) {
+                    ttl = Math.max(shortestDeadline, ttl * RETENTION_DECREASE);
+                } else if (!fetch && call.fetchLane != null && home.holder == target) {
+                    ttl = Math.min(KEY_TTL * settings.coldTime(), ttl * RETENTION_INCREASE);
                 }
-                if (fetch || home.kept != target) {
-                    home.kept = target;
-                    home.keptAt = now;
+                if (fetch || home.holder != target) {
+                    home.holder = target;
+                    home.heldAt = now;
                 }
             }
             if (home != null) {
-                home.servedOne(now, targets.size() / arrivals.at(now));
+                home.recordServed(now, targets.size() / arrivals.at(now));
             }
-            target.slowness = Measures.smooth(target.slowness, (double) o.elapsed() / held.type.targetLatency());
+            target.slowness = Stats.smooth(target.slowness, (double) o.elapsed() / call.type.targetLatency());
         }
     }
 
-    /** What follows an outcome that did not end the request. */
-    private void react(Held held, Target target, Outcome o) {
-        // A first break leaves the key its home: elsewhere it would be a miss.
-        boolean broke = o.code() == Code.RESET && held.attempts == 1;
+    /** Retries or ends a request after an outcome that did not answer it. */
+    private void retryOrFinish(Call call, Target target, Outcome o) {
+        // A first connection reset leaves the key at its home: elsewhere it would be a cache miss.
+        boolean broke = o.code() == Code.RESET && call.attempts == 1;
         if (o.code() != Code.MISS && !o.code().endedLocally && o.code() != Code.ERROR && !broke) {
-            held.failedAt.add(target);
+            call.failedAt.add(target);
         }
-        long wait = held.lane.currentInterval;
+        long wait = call.lane.currentInterval;
         if (o.code() == Code.MISS) {
-            held.missed = held.unrationed = true;
-            route(held);
+            call.missed = call.resendExempt = true;
+            route(call);
             return;
         }
-        if (target == origin && !held.request.write() && o.code() != Code.FULL) {
-            release(held);
+        if (target == origin && !call.request.write() && o.code() != Code.FULL) {
+            endFetch(call);
         }
-        boolean late = now + wait + typical(held, target) > held.request.expiresAt();
-        if (!o.code().endedLocally && retries < 1 || late || !mayRepeat(held) || !mayResend(held)) {
-            conclude(held, retries < 1 ? UnservedReason.NO_BUDGET : UnservedReason.SPENT);
+        boolean late = now + wait + expectedLatency(call, target) > call.request.expiresAt();
+        if (!o.code().endedLocally && retryBudget < 1 || late || !mayRepeat(call) || !mayResend(call)) {
+            endUnserved(call, retryBudget < 1 ? UnservedReason.NO_BUDGET : UnservedReason.SPENT);
         } else {
-            retries -= o.code().endedLocally ? 0 : 1;
-            alarms.set(now + wait, () -> route(held));
+            retryBudget -= o.code().endedLocally ? 0 : 1;
+            timers.schedule(now + wait, () -> route(call));
         }
     }
 
-    /** Rule: what may have run is sent again only within what its class allows. */
-    private boolean mayRepeat(Held held) {
-        boolean within = held.type.effect() == Effect.KEYED && now < held.ranSince + held.type.deduplicationWindow();
-        return held.ranAt == null || held.type.effect() == Effect.SAFE || within;
+    /** Rule: a request that may have been executed is repeated only as its class allows. */
+    private boolean mayRepeat(Call call) {
+        boolean withinWindow =
+                call.type.effect() == Effect.KEYED && now < call.ranSince + call.type.deduplicationWindow();
+        return call.ranOn == null || call.type.effect() == Effect.SAFE || withinWindow;
     }
 
-    /** Rule: the ration of further attempts, checked before the wait and at each send. */
-    private boolean mayResend(Held held) {
-        long since = now - settings.resendSpan();
-        boolean free = settings.resendSpan() == 0 || held.attempts == 0 || held.unrationed;
-        double most = settings.freeResends() + settings.resendShare() * (free ? 0 : taken.countAfter(since));
-        return free || resent.countAfter(since - 1) < Math.floor(most);
+    /** Rule: the resend limit, checked before the retry delay and at each send. */
+    private boolean mayResend(Call call) {
+        long from = now - settings.resendSpan();
+        boolean free = settings.resendSpan() == 0 || call.attempts == 0 || call.resendExempt;
+        double max = settings.freeResends() + settings.resendShare() * (free ? 0 : requests.countAfter(from));
+        return free || resends.countAfter(from - 1) < Math.floor(max);
     }
 
-    private boolean sameGroup(Held held, Target target) {
-        Server ran = held.type.effect() == Effect.KEYED ? held.ranAt : null;
-        boolean any = ran == null || held.type.group() == Group.ALL;
-        boolean zone = held.type.group() == Group.ZONE;
+    private boolean inGroup(Call call, Target target) {
+        Server ran = call.type.effect() == Effect.KEYED ? call.ranOn : null;
+        boolean any = ran == null || call.type.group() == Group.ALL;
+        boolean zone = call.type.group() == Group.ZONE;
         return any || (zone ? ran.zone() == target.entry.zone() : ran.cell() == target.entry.cell());
     }
 
-    /** The final answer to a request that was not served: a refusal where that is true, else a failure. */
-    private void conclude(Held held, UnservedReason why) {
-        if (held.answered) {
+    /** Ends a request that was not served: refused if it certainly was not executed, else failed. */
+    private void endUnserved(Call call, UnservedReason reason) {
+        if (call.answered) {
             return;
         }
-        held.answered = true;
-        given[why.ordinal()]++;
-        if (held.out != null && held.fetch != null) {
-            held.fetch.goUp(); // waited to its end, most likely for the ledger
-        } else if (held.out != null && held.out.lastAnswer >= held.sentAt) {
-            fault(held, held.out, BROKEN); // waited to the end, while others got answers
+        call.answered = true;
+        unserved[reason.ordinal()]++;
+        if (call.sentTo != null && call.fetchLane != null) {
+            call.fetchLane.increase(); // timed out, most likely waiting for the origin
+        } else if (call.sentTo != null && call.sentTo.lastAnswerAt >= call.sentAt) {
+            recordFault(call, call.sentTo, RESET_WEIGHT); // timed out while others were answered
         }
-        boolean refusable = held.ranAt == null && held.out == null || held.type.effect() == Effect.SAFE;
-        refusable |= held.type.effect() == Effect.KEYED && held.type.group() == Group.ALL;
+        boolean refusable = call.ranOn == null && call.sentTo == null || call.type.effect() == Effect.SAFE;
+        refusable |= call.type.effect() == Effect.KEYED && call.type.group() == Group.ALL;
         if (refusable) {
-            Target at = held.queuedAt;
-            long wait = at == null ? 0 : Math.max(0, at.leaves(at.queue.size()) - now);
-            long longest = settings.retryAfter() ? settings.maxRetryAfter() : 0;
-            actions.refuse(held.request.id(), Math.min(comeBack.recordRefused(wait, random.nextDouble()), longest));
+            Target at = call.queuedAt;
+            long wait = at == null ? 0 : Math.max(0, at.departureTime(at.queue.size()) - now);
+            long max = settings.retryAfter() ? settings.maxRetryAfter() : 0;
+            actions.refuse(call.request.id(), Math.min(delays.recordRefused(wait, random.nextDouble()), max));
         } else {
-            actions.fail(held.request.id());
+            actions.fail(call.request.id());
         }
-        finish(held);
+        finish(call);
     }
 
-    private void finish(Held held) {
-        if (held.queuedAt != null) {
-            held.queuedAt.queue.remove(held);
-            held.queuedAt = null;
+    private void finish(Call call) {
+        if (call.queuedAt != null) {
+            call.queuedAt.queue.remove(call);
+            call.queuedAt = null;
         }
-        homeless.remove(held);
-        release(held);
-        if (held.out == null) {
-            letGo(held, false, true);
-            open.remove(held.request.id());
+        unassigned.remove(call);
+        endFetch(call);
+        if (call.sentTo == null) {
+            end(call, false, true);
+            calls.remove(call.request.id());
         }
     }
 
-    /** Ends a fetch that others here wait for; they ask the cache again. */
-    private void release(Held leader) {
+    /** Ends a fetch that other calls have joined; they are sent to the cache again. */
+    private void endFetch(Call leader) {
         String key = leader.request.key();
         if (key != null && fetches.get(key) == leader) {
             fetches.remove(key);
@@ -936,115 +935,114 @@
         }
     }
 
-    // ---- servers and keys
-
-    private void reroute(Collection<Held> waiting) {
-        List<Held> moved = List.copyOf(waiting);
+    private void reroute(Collection<Call> waiting) {
+        List<Call> moved = List.copyOf(waiting);
         waiting.clear();
-        for (Held held : moved) {
-            held.queuedAt = null;
-            route(held);
+        for (Call call : moved) {
+            call.queuedAt = null;
+            route(call);
         }
     }
 
-    private void heard(Target target) {
+    private void recordAnswer(Target target) {
         if (target.zone != null) {
-            heard(target.zone);
+            recordAnswer(target.zone);
         }
         for (Target t : target.suspect ? targets.values() : List.<Target>of()) {
-            if (target.covers(t) && now - t.lastAnswer > shortestDeadline) {
-                t.cool(now);
+            if (target.covers(t) && now - t.lastAnswerAt > shortestDeadline) {
+                t.markCold(now);
             }
             if (target.covers(t)) {
-                revive(t); // a zone's silence explains that of its servers
+                clearSuspicion(t); // the zone's failure explains that of its servers
             }
         }
-        revive(target);
-        target.lastAnswer = now;
-        target.doubts = 0;
+        clearSuspicion(target);
+        target.lastAnswerAt = now;
+        target.suspicion = 0;
     }
 
-    private void revive(Target target) {
+    private void clearSuspicion(Target target) {
         if (target.suspect) {
-            actions.log("server answers again: " + target.id);
+            actions.log("server responding again: " + target.id);
         }
         target.suspect = false;
-        target.trials.currentInterval = 0;
+        target.backoff.currentInterval = 0;
     }
 
-    /** A request sent at {@code since} has no answer, later than usual or for good: does anything come? */
-    private void doubt(Target target, long since, int weight) {
-        if (target == origin || target.lastAnswer >= since) {
+    /** Counts a missing response to a request sent at {@code since}, unless the target answered since. */
+    private void addSuspicion(Target target, long since, int weight) {
+        if (target == origin || target.lastAnswerAt >= since) {
             return;
         }
         if (target.suspect) {
-            target.trials.goUp();
-        } else if ((target.doubts += weight) >= (target.zone == null ? ZONE_CONVICTED : CONVICTED)) {
-            suspect(target);
+            target.backoff.increase();
+        } else if ((target.suspicion += weight) >= (target.zone == null ? ZONE_FAULT_LIMIT : FAULT_LIMIT)) {
+            markSuspect(target);
         }
-        if (target.zone != null && zones.values().stream().anyMatch(zone -> zone.lastAnswer >= since)) {
-            doubt(target.zone, since, Math.min(weight, SILENT));
+        if (target.zone != null && zones.values().stream().anyMatch(zone -> zone.lastAnswerAt >= since)) {
+            addSuspicion(target.zone, since, Math.min(weight, SILENCE_WEIGHT));
         }
     }
 
-    private void fault(Held held, Target target, double weight) {
+    private void recordFault(Call call, Target target, double weight) {
         if (target != origin) {
-            int type = held.request.requestClass();
-            target.faults(type).sum = Math.min(2 * CONVICTED, target.faults(type).sum + weight);
-            boolean alike = alike(type);
-            targets.values().forEach(t -> t.faults(type).leaveOutIfFailing(!alike));
+            int type = call.request.requestClass();
+            target.faults(type).score = Math.min(2 * FAULT_LIMIT, target.faults(type).score + weight);
+            boolean common = isCommonFault(type);
+            targets.values().forEach(t -> t.faults(type).updateExclusion(!common));
         }
     }
 
-    /** Whether so many servers fail a class that it comes from behind them. */
-    private boolean alike(int type) {
-        return FAULTY_PART * ready(t -> t.faults(type).failing()) > ready(t -> true);
+    /** Whether so many servers fail a class that the cause must be the origin behind them. */
+    private boolean isCommonFault(int type) {
+        return COMMON_FAULT_DIVISOR * countReady(t -> t.faults(type).isFailing()) > countReady(t -> true);
     }
 
-    private long ready(Predicate<Target> which) {
+    private long countReady(Predicate<Target> which) {
         return targets.values().stream().filter(t -> t.ready() && which.test(t)).count();
     }
 
-    /** A silent server or zone counts as displaced until a trial is answered; its work is called back. */
-    private void suspect(Target target) {
-        long suspects = ready(t -> t.suspect);
-        if (target.zone != null && SUSPECT_PART * (suspects + 1) > Math.max(ready(t -> true), SUSPECT_PART)) {
-            return; // Silence on many sides is overload or our own pause; moving their keys would add to it.
+    /** Stops using a silent server or zone until a trial is answered, and recalls its work. */
+    private void markSuspect(Target target) {
+        long suspects = countReady(t -> t.suspect);
+        if (target.zone != null
+                && SUSPECT_DIVISOR * (suspects + 1) > Math.max(countReady(t -> true), SUSPECT_DIVISOR)) {
+            return; // If many are silent it is overload or our own pause; moving keys would make it worse.
         }
-        actions.log("server silent: " + target.id);
+        actions.log("server not responding: " + target.id);
         target.suspect = true;
-        someSuspect = true;
-        target.trials.goUp();
-        target.trialAt = now + target.trials.currentInterval;
+        anySuspect = true;
+        target.backoff.increase();
+        target.nextTrialAt = now + target.backoff.currentInterval;
         for (Target t : targets.values()) {
             if (target.covers(t)) {
-                callBack(t);
+                recallWork(t);
             }
         }
     }
 
-    private void callBack(Target target) {
+    private void recallWork(Target target) {
         actions.closeIdle(target.id);
-        boolean may = settings.mayCancel() && settings.resendSpan() == 0; // rations are not for moving work
-        for (Held h : target.inFlight) {
-            if (may && !h.answered && h.type.effect() == Effect.SAFE && h.attempts < h.most) {
+        boolean may = settings.mayCancel() && settings.resendSpan() == 0; // resends are not for moving work
+        for (Call h : target.inFlight) {
+            if (may && !h.answered && h.type.effect() == Effect.SAFE && h.attempts < h.maxAttempts) {
                 actions.cancel(h.request.id(), h.attempts - 1);
             }
         }
         reroute(target.queue);
     }
 
-    private Target choose(Held held) {
-        trials = Math.min(1, trials + (held.attempts == 0 ? TRIAL_SHARE : 0));
-        boolean trial = held.type.effect() == Effect.SAFE && held.attempts == 0 && trials >= 1 && someSuspect;
-        String key = held.request.key();
-        Home home = key == null ? new Home(now) : table.computeIfAbsent(key, k -> new Home(now));
-        if (now - home.used > settings.coldTime()) {
+    private Target chooseServer(Call call) {
+        trials = Math.min(1, trials + (call.attempts == 0 ? TRIAL_RATIO : 0));
+        boolean trial = call.type.effect() == Effect.SAFE && call.attempts == 0 && trials >= 1 && anySuspect;
+        String key = call.request.key();
+        Home home = key == null ? new Home(now) : homes.computeIfAbsent(key, k -> new Home(now));
+        if (now - home.usedAt > settings.coldTime()) {
             home.target = null;
         }
-        home.used = now;
+        home.usedAt = now;
         Target target = home.target;
-        if (target != null && !trial && fits(held, target) && target.load() * unit <= HIGH_FLOOR) {
+        if (target != null && !trial && fits(call, target) && target.load() * meanWeight <= HIGH_LOAD) {
             return target;
         }
         List<Target> usable = new ArrayList<>(targets.size());
@@ -1056,18 +1054,18 @@
         for (Target t : targets.values()) {
             allWeights += t.ready() ? t.entry.weight() : 0;
             warmWeights += t.ready() && t.warmth() == 1 ? t.entry.weight() : 0;
-            if (t.ready() && sameGroup(held, t)) {
-                (t.silent() ? doubtful : usable).add(t);
+            if (t.ready() && inGroup(call, t)) {
+                (t.isSilent() ? doubtful : usable).add(t);
                 weights += t.entry.weight();
                 counts += t.queue.size() + t.inFlight.size();
             }
         }
-        someSuspect = !doubtful.isEmpty();
+        anySuspect = !doubtful.isEmpty();
         for (Target t : doubtful) {
-            if (trial && now >= Math.max(t.trialAt, t.zone.suspect ? t.zone.trialAt : 0)) {
+            if (trial && now >= Math.max(t.nextTrialAt, t.zone.suspect ? t.zone.nextTrialAt : 0)) {
                 trials = 0;
-                t.trialAt = now + (t.zone.suspect ? 2 * shortestDeadline : t.trials.currentInterval);
-                t.zone.trialAt = now + t.zone.trials.currentInterval;
+                t.nextTrialAt = now + (t.zone.suspect ? 2 * shortestDeadline : t.backoff.currentInterval);
+                t.zone.nextTrialAt = now + t.zone.backoff.currentInterval;
                 return t;
             }
         }
@@ -1076,43 +1074,43 @@
             return null;
         }
         double mean = counts / weights;
-        unit = weights / usable.size();
+        meanWeight = weights / usable.size();
         if (target == null || !usable.contains(target)) {
-            home.target = fewest(held, home, usable, mean, null);
+            home.target = leastLoaded(call, home, usable, mean, null);
             return home.target;
         }
-        boolean crowded = target.load() > Math.max(HIGH * mean, HIGH_FLOOR / unit);
-        if (!crowded && fits(held, target)) {
+        boolean overfull = target.load() > Math.max(HIGH_LOAD_FACTOR * mean, HIGH_LOAD / meanWeight);
+        if (!overfull && fits(call, target)) {
             return target;
         }
-        boolean copied = !crowded && usable.contains(home.kept) && fits(held, home.kept); // saves a fetch
-        Target other = copied ? home.kept : fewest(held, home, usable, mean, target);
+        boolean cached = !overfull && usable.contains(home.holder) && fits(call, home.holder); // no fetch
+        Target other = cached ? home.holder : leastLoaded(call, home, usable, mean, target);
         other = other == null ? target : other;
-        home.target = crowded && other.load() < Math.max(mean, LOW_FLOOR / unit) ? other : home.target;
-        return crowded ? home.target : other;
+        home.target = overfull && other.load() < Math.max(mean, LOW_LOAD / meanWeight) ? other : home.target;
+        return overfull ? home.target : other;
     }
 
-    private boolean fits(Held held, Target to) {
-        boolean free = to.ready() && !to.silent() && sameGroup(held, to) && to.coldWait() <= now;
-        return free && !to.faults(held.request.requestClass()).shut() && !held.failedAt.contains(to);
+    private boolean fits(Call call, Target to) {
+        boolean free = to.ready() && !to.isSilent() && inGroup(call, to) && to.coldReadyAt() <= now;
+        return free && !to.faults(call.request.requestClass()).isBlocked() && !call.failedAt.contains(to);
     }
 
-    /** The server with fewest held and in flight; under the low bound the key's rendezvous decides. */
-    private Target fewest(Held held, Home home, List<Target> usable, double mean, Target not) {
-        String key = held.request.key();
-        long keyHash = key == null ? random.nextLong() : Measures.hash(key) + (salt & home.copies - 1);
+    /** The least loaded server; at low or equal loads the key's rendezvous hash decides. */
+    private Target leastLoaded(Call call, Home home, List<Target> usable, double mean, Target excluded) {
+        String key = call.request.key();
+        long keyHash = key == null ? random.nextLong() : Stats.hash(key) + (salt & home.homeCount - 1);
         Target best = null;
         double bestLoad = 0;
         double bestRank = 0;
-        double low = Math.max(mean, LOW_FLOOR / unit);
+        double low = Math.max(mean, LOW_LOAD / meanWeight);
         for (int pass = 0; pass < 2 && best == null; pass++) {
             for (Target target : usable) {
-                if (target == not || pass == 0 && !fits(held, target)) {
+                if (target == excluded || pass == 0 && !fits(call, target)) {
                     continue;
                 }
                 double load = target.load() < low ? 0 : target.load();
-                double near = home.copies > 1 && target.entry.zone() == settings.zone() ? NEAR : 1;
-                double rank = -near * target.entry.weight() / Math.log(Measures.unit(keyHash ^ target.hash));
+                double near = home.homeCount > 1 && target.entry.zone() == settings.zone() ? LOCAL_FACTOR : 1;
+                double rank = -near * target.entry.weight() / Math.log(Stats.uniform(keyHash ^ target.hash));
                 if (best == null || load < bestLoad || load == bestLoad && rank > bestRank) {
                     best = target;
                     bestLoad = load;
--- a/src/main/java/anisebend/FetchLimit.java
+++ b/src/main/java/anisebend/FetchLimit.java
@@ -3,55 +3,55 @@
 import java.util.ArrayDeque;
 
 /**
- * How many fetches may be out at the ledger: what it answers in the wanted time (Little's law), with room for
- * chance; lanes learn from answers, too late past its peak. Out is what it may still work on: what was given
- * up too, but nothing sent well before one that it has answered: that hangs at its cache server. O(1) each;
- * times in microseconds. Could hurt where the ledger gets quicker at once, as the rate follows.
+ * Limits the fetches in flight at the origin to what it answers within the target latency (Little's law)
+ * with a margin for variance; lanes alone react only past its peak. Abandoned fetches count, as the origin
+ * serves them, but not those sent well before one that it has answered: these hang at their cache server.
+ * O(1) a call; microseconds. If the origin gets faster suddenly, the limit follows only with the rate.
  */
 final class FetchLimit {
-    /** Deviations of a chance number that the bound leaves room for, and the least that may be out. */
-    private static final double CHANCE = 4;
+    /** Standard deviations (of a Poisson count) above the mean, and the minimum limit. */
+    private static final double DEVIATIONS = 4;
 
-    private static final int LEAST = 2;
+    private static final int MIN_FETCHES = 2;
 
-    /** One that has been sent. */
+    /** A fetch in flight. */
     static final class Fetch {
         private long sentAt;
-        private boolean over;
+        private boolean finished;
     }
 
     private final ArrayDeque<Fetch> sent = new ArrayDeque<>();
-    private int out;
-    private long overtaken = Long.MIN_VALUE;
+    private int outstanding;
+    private long supersededUntil = Long.MIN_VALUE;
 
-    /** One goes out. */
+    /** Records a fetch that is sent. */
     Fetch send(long now) {
         Fetch fetch = new Fetch();
         fetch.sentAt = now;
         sent.add(fetch);
-        out++;
+        outstanding++;
         return fetch;
     }
 
-    /** It is not at the ledger any more, or has never come there. */
-    void over(Fetch fetch) {
-        out -= fetch.over ? 0 : 1;
-        fetch.over = true;
+    /** Records that a fetch is no longer at the origin, or never got there. */
+    void finish(Fetch fetch) {
+        outstanding -= fetch.finished ? 0 : 1;
+        fetch.finished = true;
     }
 
-    /** The ledger has answered it, and so too what was sent earlier by more than {@code slack}. */
+    /** Records an answer of the origin; fetches sent more than {@code slack} before it count as finished. */
     void answered(Fetch fetch, double slack) {
-        over(fetch);
-        overtaken = Math.max(overtaken, (long) (fetch.sentAt - slack));
+        finish(fetch);
+        supersededUntil = Math.max(supersededUntil, (long) (fetch.sentAt - slack));
     }
 
-    /** Whether one more may go out to a ledger that answers so many a second and is to within {@code aim}. */
-    boolean room(long now, double perSecond, long aim, long longest) {
-        long gone = Math.max(overtaken, now - longest);
-        while (!sent.isEmpty() && (sent.peek().over || sent.peek().sentAt <= gone)) {
-            over(sent.poll());
+    /** Whether an origin that answers {@code perSecond} fetches may get one more within {@code target}. */
+    boolean hasCapacity(long now, double perSecond, long target, long longest) {
+        long superseded = Math.max(supersededUntil, now - longest);
+        while (!sent.isEmpty() && (sent.peek().finished || sent.peek().sentAt <= superseded)) {
+            finish(sent.poll());
         }
-        double usual = perSecond * aim / Measures.MICROS;
-        return out < LEAST + usual + CHANCE * Math.sqrt(usual);
+        double mean = perSecond * target / Stats.SECOND;
+        return outstanding < MIN_FETCHES + mean + DEVIATIONS * Math.sqrt(mean);
     }
 }
--- a/src/main/java/anisebend/Lane.java
+++ b/src/main/java/anisebend/Lane.java
@@ -2,37 +2,37 @@
 
 import java.util.SplittableRandom;
 
-/** One of a target's paced ways out. While paced it carries one request, as the paper's workers do. */
+/** A slot for sending requests to a target. While its interval is not 0 it carries one request at a time. */
 final class Lane extends AdaptiveInterval {
-    /** Both bounds of an interval, as parts of the shortest deadline. */
-    static final int INITIAL_PART = 50;
+    /** The shortest and longest interval are the shortest deadline divided by these. */
+    static final int INITIAL_DIVISOR = 50;
 
-    static final int MAX_PART = 5;
+    static final int MAX_DIVISOR = 5;
 
-    /** Since when it rests: its last send or, like the paper's sleep after a call, the answer to it. */
-    long restSince;
+    /** When the interval begins: at the last send or, once there is one, its outcome. */
+    long idleSince;
 
-    long steppedAt;
-    int out;
+    long decreasedAt;
+    int inFlight;
 
     Lane(SplittableRandom random, long deadline) {
-        super(random, deadline / INITIAL_PART, deadline / MAX_PART);
+        super(random, deadline / INITIAL_DIVISOR, deadline / MAX_DIVISOR);
     }
 
-    /** Steps down for each time in which a threshold of successes could have been earned, unused. */
-    void rest(long now) {
-        steppedAt = Math.max(steppedAt, restSince);
-        while (out == 0 && currentInterval > 0) {
-            long step = THRESHOLD * Math.max(currentInterval, maxInterval / 2);
-            if (now - steppedAt < step) {
+    /** Decreases the interval once for each idle time in which the threshold could have been reached. */
+    void decayWhileIdle(long now) {
+        decreasedAt = Math.max(decreasedAt, idleSince);
+        while (inFlight == 0 && currentInterval > 0) {
+            long step = SUCCESS_THRESHOLD * Math.max(currentInterval, maxInterval / 2);
+            if (now - decreasedAt < step) {
                 return;
             }
-            steppedAt += step;
-            goDown();
+            decreasedAt += step;
+            decrease();
         }
     }
 
     long readyAt() {
-        return currentInterval == 0 ? 0 : out > 0 ? Long.MAX_VALUE : restSince + currentInterval;
+        return currentInterval == 0 ? 0 : inFlight > 0 ? Long.MAX_VALUE : idleSince + currentInterval;
     }
 }
--- a/src/main/java/anisebend/Main.java
+++ b/src/main/java/anisebend/Main.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Entry point of the jar: {@code serve} runs the real proxy, {@code adapter} serves the wire on standard
- * input and output.
+ * Entry point of the jar: {@code serve} runs the proxy, {@code adapter} runs balancers for the simulator over
+ * standard input and output.
  */
 public final class Main {
     private Main() {}
@@ -24,8 +24,8 @@
     }
 
     private static void serve() {
-        // A restart may reach a process that has only just begun, and its end must not come before it knows whether
-        // another one is there that has clients: so SIGTERM is heard before anything else is loaded.
+        // A restart may stop a process that has only just started, and it must not exit before it knows whether another
+        // process has clients. So the SIGTERM hook is registered before anything else is loaded.
         CompletableFuture<ProxyServer> started = new CompletableFuture<>();
         Runtime.getRuntime().addShutdownHook(new Thread() {
             @Override
@@ -33,7 +33,7 @@
                 ProxyServer server = started.join();
                 if (server != null) {
                     server.drain();
-                    Runtime.getRuntime().halt(0); // else the signal would be the exit code
+                    Runtime.getRuntime().halt(0); // otherwise the exit code would report the signal
                 }
             }
         });
@@ -42,14 +42,14 @@
             if (Boolean.getBoolean("gorsemast.trace")) {
                 server.trace(Math.max(10, Long.getLong("gorsemast.trace.millis", 1_000)));
             }
-            server.reloadOnHangup(); // before anybody can see that it is ready
+            server.reloadOnHangup(); // before it reports itself ready
             started.complete(server.startWarm());
         } catch (IOException e) {
             System.err.println("anisebend: " + e.getMessage());
-            started.complete(null); // first, as the exit waits for the hook
+            started.complete(null); // before exit(), which waits for the shutdown hook
             System.exit(1);
         } finally {
-            started.complete(null); // whatever else it was; without effect where it has started
+            started.complete(null); // after any other exception; no effect if already completed
         }
     }
 }
--- a/src/main/java/anisebend/Measures.java
+++ b/src/main/java/anisebend/Stats.java
@@ -2,15 +2,15 @@
 
 import java.util.ArrayDeque;
 
-/** Arithmetic without decisions: smoothed figures and hashes. */
-final class Measures {
+/** Smoothed statistics and hashes. */
+final class Stats {
     private static final double SMOOTHING = 0.125;
     /** Microseconds in a second. */
-    static final double MICROS = 1e6;
+    static final double SECOND = 1e6;
 
-    private Measures() {}
+    private Stats() {}
 
-    /** A value moved towards a sample by the usual step. */
+    /** One step of an exponentially weighted moving average. */
     static double smooth(double value, double sample) {
         return value + SMOOTHING * (sample - value);
     }
@@ -33,31 +33,31 @@
         }
     }
 
-    /** Events a second, smoothed over a span of microseconds. */
+    /** Events per second, averaged over a span of microseconds with exponential decay. */
     static final class Rate {
         final double span;
         double value;
-        /** The highest value lately, forgotten over several spans' worth of events. */
+        /** Recent maximum of the value; decays over the events of several spans. */
         double peak;
 
-        private long last;
+        private long updatedAt;
 
         Rate(double span) {
             this.span = span;
         }
 
         void add(long now) {
-            value = value * Math.exp((last - now) / span) + MICROS / span;
-            last = now;
-            peak = Math.max(value, peak * (1 - SMOOTHING * MICROS / span / value));
+            value = value * Math.exp((updatedAt - now) / span) + SECOND / span;
+            updatedAt = now;
+            peak = Math.max(value, peak * (1 - SMOOTHING * SECOND / span / value));
         }
 
         double at(long now) {
-            return value * Math.exp((last - now) / span);
+            return value * Math.exp((updatedAt - now) / span);
         }
     }
 
-    /** Counts events of a sliding window. */
+    /** Counts events in a sliding window. */
     static final class Window {
         private final ArrayDeque<Long> times = new ArrayDeque<>();
 
@@ -65,7 +65,7 @@
             times.add(now);
         }
 
-        /** How many came after {@code since}, which never goes back. */
+        /** Number of events after {@code since}, which must not decrease between calls. */
         int countAfter(long since) {
             while (!times.isEmpty() && times.peek() <= since) {
                 times.poll();
@@ -74,7 +74,7 @@
         }
     }
 
-    /** A hash that depends on the text alone. */
+    /** A hash that is the same in every process. */
     static long hash(String text) {
         long h = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -83,8 +83,8 @@
         return mix(h);
     }
 
-    /** A number in (0, 1) from a hash. */
-    static double unit(long hash) {
+    /** Maps a hash to a number in (0, 1). */
+    static double uniform(long hash) {
         return ((mix(hash) >>> 11) + 0.5) * 0x1p-53;
     }
 
--- a/src/main/java/anisebend/TenantShares.java
+++ b/src/main/java/anisebend/TenantShares.java
@@ -1,58 +1,58 @@
 package anisebend;
 
-import anisebend.Measures.Rate;
+import anisebend.Stats.Rate;
 import java.util.List;
 
 /**
- * Which tenants ask for more than their share: more than their quota at this balancer, a bucket of a second,
- * and than their part of what it gets, as balancers get uneven parts and a plain division of the quota would
- * blame a busy one's tenants. Times in microseconds; O(tenants) memory, O(1) a request; one thread.
+ * Detects tenants over their share: over their quota at this balancer (a token bucket of one second) and also
+ * over their fraction of its requests: load is uneven between balancers, so the divided quota alone would
+ * blame the tenants of a busy one. Microseconds; O(tenants) memory, O(1) a request; one thread.
  */
 final class TenantShares {
-    /** How far a tenant's part of the traffic here must exceed its fraction before it is over its share. */
-    private static final double OVER = 1.25;
+    /** Factor by which a tenant's part of the requests here must exceed its share to count as over it. */
+    private static final double OVER_SHARE_FACTOR = 1.25;
 
-    private final class Use {
+    private final class Usage {
         final Rate rate = new Rate(span);
         double tokens;
-        long last;
+        long updatedAt;
     }
 
     private final List<Balancer.Tenant> tenants;
-    /** How many share the quotas; may change in service. */
+    /** Number of balancers that share the quotas; may change while running. */
     int balancers;
 
     private final Rate arrivals;
-    private final Use[] uses;
+    private final Usage[] usages;
     final double span;
 
-    /** The tenants of a tier of so many balancers; {@code arrivals} is the rate of all requests here. */
+    /** Creates shares over {@code balancers} balancers; {@code arrivals} is the rate of all requests here. */
     TenantShares(List<Balancer.Tenant> tenants, int balancers, double span, Rate arrivals) {
         this.tenants = tenants;
         this.balancers = balancers;
         this.arrivals = arrivals;
         this.span = span;
-        uses = new Use[tenants.size()];
-        for (int i = 0; i < uses.length; i++) {
-            uses[i] = new Use();
+        usages = new Usage[tenants.size()];
+        for (int i = 0; i < usages.length; i++) {
+            usages[i] = new Usage();
         }
     }
 
-    /** Takes note of a request, and says whether it is beyond its tenant's share; unknown ones never are. */
-    boolean over(long now, int tenant) {
-        if (tenant >= uses.length) {
+    /** Records a request; returns whether it exceeds its tenant's share, which unknown tenants never do. */
+    boolean recordRequest(long now, int tenant) {
+        if (tenant >= usages.length) {
             return false;
         }
         Balancer.Tenant t = tenants.get(tenant);
-        Use use = uses[tenant];
-        double perMicro = t.quotaPerSecond() / balancers / Measures.MICROS;
-        use.tokens = Math.min(perMicro * Measures.MICROS, use.tokens + (now - use.last) * perMicro);
-        use.last = now;
-        use.rate.add(now);
-        if (use.tokens >= 1) {
-            use.tokens--;
+        Usage usage = usages[tenant];
+        double perMicro = t.quotaPerSecond() / balancers / Stats.SECOND;
+        usage.tokens = Math.min(perMicro * Stats.SECOND, usage.tokens + (now - usage.updatedAt) * perMicro);
+        usage.updatedAt = now;
+        usage.rate.add(now);
+        if (usage.tokens >= 1) {
+            usage.tokens--;
             return false;
         }
-        return use.rate.value > OVER * t.share() * arrivals.value;
+        return usage.rate.value > OVER_SHARE_FACTOR * t.share() * arrivals.value;
     }
 }
--- a/src/main/java/anisebend/WireEvent.java
+++ b/src/main/java/anisebend/WireEvent.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One message of the wire, read field by field and reused. Absent numbers are {@link #NONE}. */
+/** A reusable message of the wire protocol. Absent numbers are {@link #NONE}. */
 public final class WireEvent {
     static final long NONE = Long.MIN_VALUE;
 
@@ -50,7 +50,7 @@
         usage = null;
     }
 
-    /** Reads the next message; false at the end of input. */
+    /** Reads the next message; returns false at the end of input. */
     boolean read(JsonParser in) throws IOException {
         JsonToken start = in.nextToken();
         if (start == null) {
@@ -151,7 +151,7 @@
     }
 
     Balancer.Outcome outcome(List<String> names) throws WireException {
-        Balancer.CacheStatus told = note == 1
+        Balancer.CacheStatus status = note == 1
                 ? Balancer.CacheStatus.HIT
                 : note == 2
                         ? Balancer.CacheStatus.MISS
@@ -162,7 +162,7 @@
                 outcomeCode(),
                 elapsed == NONE ? 0 : elapsed,
                 last,
-                told,
+                status,
                 report(names));
     }
 
@@ -190,8 +190,8 @@
     }
 
     private double value(List<String> names, String name) {
-        int at = names.indexOf(name);
-        return at < 0 || at >= usage.length ? Double.NaN : usage[at];
+        int column = names.indexOf(name);
+        return column < 0 || column >= usage.length ? Double.NaN : usage[column];
     }
 
     private static String text(JsonParser in, String name) throws IOException {
@@ -279,7 +279,7 @@
         return List.copyOf(list);
     }
 
-    /** Reads the object that the parser stands on: numbers as Double, lists and maps nested. */
+    /** Reads the object at which the parser stands, with numbers as Double and nested lists and maps. */
     public static Map<String, Object> object(JsonParser in) throws IOException {
         if (in.currentToken() != JsonToken.START_OBJECT) {
             throw new WireException("env must be an object");
--- a/src/main/java/anisebend/WireSettings.java
+++ b/src/main/java/anisebend/WireSettings.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 
-/** Turns the settings object of the wire into {@link Balancer.Settings}. */
+/** Converts the settings object of the wire protocol to {@link Balancer.Settings}. */
 public final class WireSettings {
     private WireSettings() {}
 
-    /** The settings that the module is started with. */
+    /** Parses the settings of a balancer. */
     public static Balancer.Settings settings(Map<String, Object> env) throws WireException {
         Map<?, ?> allowed = map(env, "allowed");
         Map<?, ?> rules = map(env, "rules");
--- a/src/test/java/anisebend/AdaptiveIntervalTest.java
+++ b/src/test/java/anisebend/AdaptiveIntervalTest.java
@@ -11,7 +11,7 @@
 
     @Test
     void growsFromZeroToTheUnjitteredInitialInterval() {
-        sleeper.goUp();
+        sleeper.increase();
         assertEquals(100, sleeper.currentInterval);
     }
 
@@ -21,7 +21,7 @@
         long most = 0;
         for (int i = 0; i < 1000; i++) {
             sleeper.currentInterval = 100;
-            sleeper.goUp();
+            sleeper.increase();
             least = Math.min(least, sleeper.currentInterval);
             most = Math.max(most, sleeper.currentInterval);
         }
@@ -32,38 +32,38 @@
     @Test
     void isCapped() {
         for (int i = 0; i < 20; i++) {
-            sleeper.goUp();
+            sleeper.increase();
         }
         assertEquals(1600, sleeper.currentInterval);
     }
 
     @Test
     void countsSuccessesOnlyWhilePacedAndKeepsThemThroughFailures() {
-        sleeper.success();
-        assertEquals(0, sleeper.currentSuccess);
-        sleeper.goUp();
-        sleeper.success();
-        sleeper.goUp();
-        assertEquals(1, sleeper.currentSuccess);
+        sleeper.recordSuccess();
+        assertEquals(0, sleeper.successes);
+        sleeper.increase();
+        sleeper.recordSuccess();
+        sleeper.increase();
+        assertEquals(1, sleeper.successes);
     }
 
     @Test
     void stepsDownAfterCountedSuccessesAndResetsTheCount() {
         sleeper.currentInterval = 1000;
-        for (int i = 1; i < AdaptiveInterval.THRESHOLD; i++) {
-            sleeper.success();
+        for (int i = 1; i < AdaptiveInterval.SUCCESS_THRESHOLD; i++) {
+            sleeper.recordSuccess();
             assertEquals(1000, sleeper.currentInterval);
         }
-        sleeper.success();
+        sleeper.recordSuccess();
         assertTrue(sleeper.currentInterval >= 350 && sleeper.currentInterval <= 650, "500 with 30 percent");
-        assertEquals(0, sleeper.currentSuccess);
+        assertEquals(0, sleeper.successes);
     }
 
     @Test
     void stepsToZeroBelowTheInitialInterval() {
         sleeper.currentInterval = 120;
-        for (int i = 0; i < AdaptiveInterval.THRESHOLD; i++) {
-            sleeper.success();
+        for (int i = 0; i < AdaptiveInterval.SUCCESS_THRESHOLD; i++) {
+            sleeper.recordSuccess();
         }
         assertEquals(0, sleeper.currentInterval);
     }
--- a/src/test/java/anisebend/BalancingPolicyTest.java
+++ b/src/test/java/anisebend/BalancingPolicyTest.java
@@ -589,9 +589,9 @@
     void aServerIsNotSuspectBeforeTheAimHasPassed() {
         World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3").pass(MS);
         world.ask("r", READ, "k").ask("q", READ, "k").pass(490 * MS);
-        assertEquals(0, world.recorder.count("log server silent"));
+        assertEquals(0, world.recorder.count("log server not responding"));
         world.pass(20 * MS);
-        assertEquals(1, world.recorder.count("log server silent"));
+        assertEquals(1, world.recorder.count("log server not responding"));
     }
 
     /** A pause of our own looks like silence on all sides; moving most keys would make it worse. */
@@ -604,7 +604,7 @@
             world.ask("r" + i, READ, "k" + i);
         }
         world.pass(1500 * MS);
-        assertEquals(3, world.recorder.count("log server silent"));
+        assertEquals(3, world.recorder.count("log server not responding"));
     }
 
     /** Sixty servers in each of two zones; one zone falls silent after so many requests. Returns the world then. */
@@ -636,8 +636,8 @@
         List<String> lost = new ArrayList<>();
         List<String> kept = new ArrayList<>();
         World world = zoneLost(lost, kept);
-        assertTrue(world.recorder.has(
-                "log server silent: zone " + World.server("a0", State.READY, 0).zone()));
+        assertTrue(world.recorder.has("log server not responding: zone "
+                + World.server("a0", State.READY, 0).zone()));
         assertTrue(world.recorder.has("cancel r79 0") || kept.contains(world.serverOf("r79")));
         int there = 0;
         for (int i = 0; i < 60; i++) {
@@ -688,7 +688,7 @@
             world.ask("q" + i, READ, "x" + i);
         }
         world.pass(3000 * MS);
-        assertEquals(0, world.recorder.count("log server silent: zone"));
+        assertEquals(0, world.recorder.count("log server not responding: zone"));
     }
 
     /** Far servers answer late by the way there and back alone, which sending less does not shorten. */
@@ -821,7 +821,7 @@
             few.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(50 * MS);
         }
         few.ask("r", READ, "k").ask("q", READ, "k").pass(1000 * MS);
-        assertTrue(few.recorder.count("log server silent") > 0);
+        assertTrue(few.recorder.count("log server not responding") > 0);
         assertEquals(0, few.recorder.count("cancel"));
     }
 
--- a/src/test/java/anisebend/FetchLimitTest.java
+++ b/src/test/java/anisebend/FetchLimitTest.java
@@ -17,7 +17,7 @@
     private final List<Fetch> out = new ArrayList<>();
 
     private boolean room(long now) {
-        return limit.room(now, 100, 160 * MS, 2_500 * MS);
+        return limit.hasCapacity(now, 100, 160 * MS, 2_500 * MS);
     }
 
     /** Sends one each millisecond from {@code now} on while there is room. */
@@ -32,11 +32,11 @@
     @Test
     void letsOutWhatIsAnsweredInTheWantedTime() {
         assertEquals(MOST, fill(0));
-        limit.over(out.get(7));
+        limit.finish(out.get(7));
         assertEquals(1, fill(100 * MS));
-        limit.over(out.get(7));
+        limit.finish(out.get(7));
         assertFalse(room(101 * MS), "over once");
-        assertTrue(limit.room(101 * MS, 400, 160 * MS, 2_500 * MS), "a quicker ledger has more room");
+        assertTrue(limit.hasCapacity(101 * MS, 400, 160 * MS, 2_500 * MS), "a quicker ledger has more room");
     }
 
     @Test
@@ -45,7 +45,7 @@
         Fetch last = out.get(MOST - 1);
         limit.answered(last, 4 * MS);
         assertEquals(MOST - 3, fill(200 * MS), "those sent 4 ms before it and less may still be there");
-        limit.over(out.get(0));
+        limit.finish(out.get(0));
         assertFalse(room(201 * MS), "it has been counted out already");
     }
 
