--- a/src/main/java/gorsemast/admission/Lateness.java
+++ b/src/main/java/gorsemast/admission/Lateness.java
@@ -1,9 +1,9 @@
 package gorsemast.admission;
 
 /**
- * How late a loop runs: something that is due each period is late by as much as everything else on that loop. Between
- * two runs it is known too, as soon as the next is overdue. What the loop itself was late with must never be held
- * against whoever it talks to.
+ * Measures how late an event loop runs, by a periodic tick: the tick is delayed by whatever else the loop does. Between
+ * two ticks the lateness is known too, as soon as the next one is overdue. The loop's own lateness must not be counted
+ * against its peers.
  *
  * <p>Times in microseconds; one thread.
  */
@@ -12,20 +12,20 @@
     private long due;
     private long last;
 
-    /** A loop whose tick is due each {@code period} microseconds from {@code now} on. */
+    /** Creates a measurement of a tick that is due every {@code period} microseconds from {@code now} on. */
     public Lateness(long now, long period) {
         this.period = period;
         this.due = now + period;
     }
 
-    /** The tick has run; returns by how much it was late. */
+    /** Records a tick; returns how late it was. */
     public long tick(long now) {
         last = Math.max(0, now - due);
         due = now + period;
         return last;
     }
 
-    /** How late whatever is handled now may be: by what the next tick is overdue, or the last was, if that is more. */
+    /** Upper estimate of the present lateness: of the overdue next tick or of the last one, whichever is more. */
     public long estimate(long now) {
         long recent = due - now > period / 2 ? last : 0;
         return Math.max(recent, Math.max(0, now - due));
--- a/src/main/java/gorsemast/admission/LoadShedder.java
+++ b/src/main/java/gorsemast/admission/LoadShedder.java
@@ -3,42 +3,42 @@
 import java.util.Arrays;
 
 /**
- * What is turned away while the process itself is late, least worth first.
+ * Decides which requests to refuse while the process itself is late, least important first.
  *
- * <p><b>Idea.</b> A queue that never empties is overload, a full one for a moment is not. As in CoDel (Nichols and
- * Jacobson, "Controlling Queue Delay", ACM Queue 2012; RFC 8289) the least lateness within an interval tells: where
- * it stays over the target for a whole one, a level rises, else it falls by half. The level says what part of which
- * requests goes: first of those beyond their tenant's share, then of each class in the order of worth. Of the class
- * that is worth most a part always passes, so that recovery shows by itself. What is turned away costs next to
- * nothing, never reaches the decision module, and is told when to come back: later the higher the level, spread over
- * a factor of three, so that it does not come back in step.
+ * <p>A queue that never empties is overload; one that is full for a moment is not. As in CoDel (Nichols and Jacobson,
+ * "Controlling Queue Delay", ACM Queue 2012; RFC 8289) the minimum lateness within an interval decides: if it stays over
+ * the target for a whole interval the shedding level rises, otherwise it halves. The level determines which fraction of
+ * which requests is refused: first those over their tenant's share, then each class in order of importance. A part of
+ * the most important class always passes, so that recovery is noticed. A refused request costs almost nothing and never
+ * reaches the decision module; its retry delay grows with the level and is spread over a factor of three, so that
+ * clients do not retry in step.
  *
- * <p><b>When it could hurt.</b> A process that pauses often for longer than the target and has room otherwise turns
- * away what it could have served. Bounds: O(classes + tenants) memory, O(1) a request.
+ * <p>A process that often pauses for longer than the target, but has capacity otherwise, refuses requests that it could
+ * have served. O(classes + tenants) memory, O(1) a request.
  */
 public final class LoadShedder {
-    /** Lateness that is no overload, in microseconds; a tenth of the shortest wanted times seen. */
+    /** Lateness that is no overload, in microseconds; a tenth of the shortest target latencies in use. */
     public static final long TARGET_MICROS = 20_000;
     /** How long it must stay over the target, in microseconds. */
     public static final long INTERVAL_MICROS = 100_000;
-    /** So much the level rises each interval; from nothing to a whole class takes five. */
+    /** Rise of the level per interval; shedding a whole class takes five intervals. */
     private static final double STEP = 0.2;
-    /** From so many targets on it rises twice as fast. */
+    /** From this many times the target on the level rises twice as fast. */
     private static final int MUCH = 5;
-    /** The part of the worthiest class that is never turned away. */
+    /** Fraction of the most important class that is never refused. */
     private static final double PASSES = 0.1;
-    /** A client's repeat goes as if the level were so much higher. */
+    /** Added to the level for a client's retry. */
     private static final double REPEAT = 0.5;
-    /** As in the decision module: how far a tenant must exceed its part of what comes. */
+    /** Factor by which a tenant must exceed its share of the requests, as in the decision module. */
     private static final double OVER = 1.25;
-    /** What tenants asked for is forgotten by this each interval. */
+    /** Decay per interval of the tenants' request counts. */
     private static final double KEPT = 0.95;
-    /** Fewer than this tell nothing of shares. */
+    /** Minimum number of requests from which shares are judged. */
     private static final double ENOUGH = 40;
 
     private static final long FIRST_RETRY_MICROS = 200_000;
 
-    /** Of each class, how many distinct worths are less. */
+    /** For each class, the number of distinct lower importances. */
     private int[] ranks;
 
     private int most;
@@ -49,14 +49,14 @@
     private long least = Long.MAX_VALUE;
     private long intervalEnds;
 
-    /** For classes of these worths and tenants of these shares of the service, from 0 to 1. */
+    /** Creates a shedder for classes of these importances and tenants of these shares, from 0 to 1. */
     public LoadShedder(double[] worths, double[] shares) {
         setClasses(worths);
         this.shares = shares.clone();
         asked = new double[shares.length];
     }
 
-    /** Goes on with classes of other worths, by their numbers. */
+    /** Replaces the importances of the classes, indexed by class number. */
     public void setClasses(double[] worths) {
         double[] order = Arrays.stream(worths).distinct().sorted().toArray();
         ranks = Arrays.stream(worths)
@@ -65,7 +65,7 @@
         most = Math.max(0, order.length - 1);
     }
 
-    /** How late the loop was at a tick. */
+    /** Records how late the event loop was at a tick. */
     public void recordLateness(long now, long micros) {
         least = Math.min(least, micros);
         if (now < intervalEnds) {
@@ -85,11 +85,11 @@
     }
 
     /**
-     * Whether a request is turned away; each is asked about once.
+     * Whether to refuse a request; called once for each.
      *
-     * @param type its class, an index into the worths
-     * @param tenant an index into the shares; others count as within theirs
-     * @param repeat whether the client says that it has asked before
+     * @param type its class, an index into the importances
+     * @param tenant an index into the shares; unknown tenants count as within theirs
+     * @param repeat whether the client marks it as a retry
      * @param draw a random number from 0 to 1
      */
     public boolean shouldShed(int type, int tenant, boolean repeat, double draw) {
@@ -106,17 +106,17 @@
         return draw < Math.min(part, ranks[type] == most && !over ? 1 - PASSES : 1);
     }
 
-    /** Whether no class is worth more. */
+    /** Whether no class is more important. */
     public boolean isMostImportant(int type) {
         return ranks[type] == most;
     }
 
-    /** When to come back, in microseconds, with a random number from 0 to 1. */
+    /** The delay after which to retry, in microseconds, for a random number from 0 to 1. */
     public long retryAfterMicros(double draw) {
         return (long) (FIRST_RETRY_MICROS * (1 + level) * (0.5 + draw));
     }
 
-    /** How much is turned away: 0 nothing, 1 all beyond the shares, 2 also all of the least worth, and so on. */
+    /** The level: 0 sheds nothing, 1 everything over the shares, 2 also the least important class, and so on. */
     public double level() {
         return level;
     }
--- a/src/main/java/gorsemast/admission/RetryDelay.java
+++ b/src/main/java/gorsemast/admission/RetryDelay.java
@@ -1,38 +1,37 @@
 package gorsemast.admission;
 
 /**
- * When a client that is refused is to come back.
+ * Computes the delay after which a refused client should retry.
  *
- * <p><b>Idea.</b> Refused requests are asked again, and if all are told the same short time they come back in step and
- * are refused in step: the storm feeds itself. So the time told is the wait that is known, and something that grows
- * with the part of the requests that were refused lately, drawn over a factor of three. One refusal among many answers
- * comes back soon; where nearly all are refused, repeats thin out to what the answers can use. It is the client's side
- * of the project's jittered back-off; RFC 9110, section 10.2.3, has the header.
+ * <p>If all refused clients were given the same short delay they would retry in step and be refused again in step. So
+ * the delay is the known wait plus a part that grows with the fraction of requests refused recently, randomized over a
+ * factor of three. A single refusal among many answers is retried soon; if nearly all requests are refused, retries
+ * thin out to what can be served. RFC 9110, section 10.2.3, defines the header.
  *
- * <p><b>When it could hurt.</b> A client that heeds the time waits longer than it would have had to, once the cause is
- * gone: at most one and a half times {@link #MOST_MICROS} on top of the wait.
+ * <p>Once the cause is gone a client may wait longer than necessary: at most one and a half times {@link #MOST_MICROS}
+ * on top of the wait.
  *
- * <p><b>Bounds.</b> O(1) memory and time. Times in microseconds; one thread.
+ * <p>O(1) memory and time. Times in microseconds; one thread.
  */
 public final class RetryDelay {
-    /** On top of the wait while next to nothing is refused. */
+    /** Added to the wait while almost nothing is refused. */
     static final long FIRST_MICROS = 20_000;
-    /** On top of the wait where everything is refused. */
+    /** Added to the wait if everything is refused. */
     static final long MOST_MICROS = 400_000;
-    /** Each end of a request counts for this part of the whole: about the last hundred tell. */
+    /** Weight of each finished request in the average, which so covers about the last hundred. */
     private static final double NEW_PART = 0.01;
 
     private double refused;
 
-    /** A request has been answered. */
+    /** Records an answered request. */
     public void recordServed() {
         refused -= NEW_PART * refused;
     }
 
     /**
-     * A request is refused; returns when it is to come back.
+     * Records a refused request; returns the delay after which to retry it.
      *
-     * @param wait what is known of how long the next one would wait, 0 for nothing
+     * @param wait how long the next request is expected to wait, 0 if unknown
      * @param draw a random number from 0 to 1
      */
     public long recordRefused(long wait, double draw) {
@@ -40,7 +39,7 @@
         return (long) ((wait + FIRST_MICROS + refused * (MOST_MICROS - FIRST_MICROS)) * (0.5 + draw));
     }
 
-    /** The part of the requests that were refused lately, from 0 to 1. */
+    /** Fraction of requests refused recently, from 0 to 1. */
     public double refusedFraction() {
         return refused;
     }
--- a/src/main/java/gorsemast/retention/package-info.java
+++ b/src/main/java/gorsemast/retention/package-info.java
@@ -1,2 +1,2 @@
-/** What is kept of requests so that they can be tried, and how much of it at a time; decided without I/O. */
+/** Limits on buffered request bodies and on responses handed to the kernel; decided without I/O. */
 package gorsemast.retention;
--- a/src/main/java/gorsemast/retune/ClassNumbering.java
+++ b/src/main/java/gorsemast/retune/ClassNumbering.java
@@ -8,18 +8,18 @@
 import java.util.Set;
 
 /**
- * The numbers by which the decision module knows the classes of requests, over all configurations of a process.
+ * Assigns the numbers by which the decision module knows request classes, across all configurations of a process.
  *
- * <p><b>Idea.</b> What is open when a configuration changes goes on under the rules it came under. So a number never
- * changes its rules: a class whose rules change gets a new one, as does a new class, and a class that is dropped keeps
- * its own without a name that leads to it. Rules that were there before under the same name get their number back, and
- * with it what was learned of them; going to and fro between two configurations costs nothing.
+ * <p>Requests in flight when a configuration changes continue under the rules with which they started. So the rules of a
+ * number never change: a new class and a class with changed rules get a new number, and a removed class keeps its number
+ * without a name. Rules that existed before under the same name get their number back, with everything learned under it,
+ * so that switching between two configurations costs nothing.
  *
- * <p><b>Bounds.</b> {@link #MAX_CLASSES} numbers; a configuration that needs more is turned down, and a restart begins anew.
+ * <p>There are at most {@link #MAX_CLASSES} numbers; a configuration that needs more is rejected until a restart.
  * Immutable.
  */
 public final class ClassNumbering {
-    /** Each number costs the module some 100 bytes a cache node. */
+    /** Each number costs the decision module about 100 bytes per cache node. */
     public static final int MAX_CLASSES = 256;
 
     private final List<String> nameOf;
@@ -33,22 +33,22 @@
     }
 
     /**
-     * The book of a first configuration, numbered in its order.
+     * The numbering of an initial configuration, in its order.
      *
-     * @throws IllegalArgumentException where there is no class, a name stands twice or there are more than {@link #MAX_CLASSES}
+     * @throws IllegalArgumentException if there is no class, a name is duplicate or there are more than {@link #MAX_CLASSES}
      */
     public static ClassNumbering of(List<String> names, List<RequestClass> rules) {
         return new ClassNumbering(List.of(), List.of(), Map.of()).with(names, rules);
     }
 
     /**
-     * The book once these classes, and no others, are configured.
+     * The numbering after a change to exactly these classes.
      *
      * @throws IllegalArgumentException as {@link #of}
      */
     public ClassNumbering with(List<String> names, List<RequestClass> changed) {
         if (names.isEmpty()) {
-            throw new IllegalArgumentException("there is no class");
+            throw new IllegalArgumentException("no request class is configured");
         }
         List<String> allNames = new ArrayList<>(nameOf);
         List<RequestClass> allRules = new ArrayList<>(rules);
@@ -61,12 +61,12 @@
                 allRules.add(changed.get(i));
             }
             if (present.put(names.get(i), number) != null) {
-                throw new IllegalArgumentException("two classes are named " + names.get(i));
+                throw new IllegalArgumentException("duplicate request class " + names.get(i));
             }
         }
         if (allNames.size() > MAX_CLASSES) {
             throw new IllegalArgumentException(
-                    "more than " + MAX_CLASSES + " classes since the start; a restart is needed");
+                    "more than " + MAX_CLASSES + " request classes since the start; restart required");
         }
         return new ClassNumbering(allNames, allRules, present);
     }
@@ -80,23 +80,23 @@
         return -1;
     }
 
-    /** The number of a class that is configured now; -1 for any other name, also none. */
+    /** The number of a configured class; -1 for an unknown or null name. */
     public int number(String name) {
         Integer number = name == null ? null : numbers.get(name);
         return number == null ? -1 : number;
     }
 
-    /** The name under which a number was given. */
+    /** The name of the class that got this number. */
     public String name(int number) {
         return nameOf.get(number);
     }
 
-    /** The rules of all numbers ever given, in their order. */
+    /** The rules of all numbers ever assigned, by number. */
     public List<RequestClass> rules() {
         return rules;
     }
 
-    /** The classes that are configured now, in the order of the configuration. */
+    /** The names of the configured classes, in configuration order. */
     public Set<String> names() {
         return numbers.keySet();
     }
--- a/src/main/java/gorsemast/retune/ConfigurationShape.java
+++ b/src/main/java/gorsemast/retune/ConfigurationShape.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 
 /**
- * Tells a configuration that has been cut short from one that was changed on purpose: half a file can be valid JSON.
- * Whatever keys the present one has, the next must have too, at every depth; of a list of objects each must have the
- * keys that all of the present ones share. Values may differ in any way; they are read strictly elsewhere.
+ * Rejects a truncated configuration file, as half a file can be valid JSON. The next configuration must have every key of
+ * the present one, at every depth; each object of a list must have the keys that all present ones share. Values may
+ * differ in any way; they are validated elsewhere.
  *
- * <p><b>When it could hurt.</b> A platform that takes a key out for good needs a restart of the proxies.
+ * <p>Removing a key for good therefore needs a restart of the proxies.
  */
 public final class ConfigurationShape {
     private ConfigurationShape() {}
 
     /**
-     * Returns where {@code next} has the keys of {@code present}.
+     * Checks that {@code next} has the keys of {@code present}.
      *
-     * @param but keys at the top whose content is not compared, as it is different each time
+     * @param but top-level keys whose content is not compared, as it always differs
      * @throws IOException naming the first key that is missing, by its path
      */
     public static void check(Map<?, ?> present, Map<?, ?> next, Set<String> but) throws IOException {
--- a/src/main/java/gorsemast/retune/package-info.java
+++ b/src/main/java/gorsemast/retune/package-info.java
@@ -1,2 +1,2 @@
-/** What a new configuration changes while requests of the old one are under way; decided without I/O. */
+/** Changes of configuration while requests of the previous one are in flight; decided without I/O. */
 package gorsemast.retune;
