--- a/src/main/java/gorsemast/cache/CachedResponse.java
+++ b/src/main/java/gorsemast/cache/CachedResponse.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * A server's whole answer, held.
+ * A server's complete response, as it is cached.
  *
- * @param headers as they go to clients, without what concerns one connection or one request
- * @param body all of it; not to be written to
- * @param tags by which it may be purged
- * @param requestedAt when the server was asked for it, in the holder's time: what it says is at least as new
- * @param ttlMicros how long from then it may be served at most
+ * @param headers as they are sent to clients, without those of one connection or one request
+ * @param body the complete body; must not be modified
+ * @param tags by which the response may be purged
+ * @param requestedAt when it was requested from the server, in the local clock: its content is at least as new
+ * @param ttlMicros how long after that it may be served at most
  */
 public record CachedResponse(
         int status,
@@ -20,20 +20,20 @@
         Set<String> tags,
         long requestedAt,
         long ttlMicros) {
-    /** What each held object costs beside its body. */
-    private static final int OVERHEAD = 600;
+    /** Estimated memory of a cached response beside its body. */
+    private static final int OVERHEAD_BYTES = 600;
 
-    /** Whether it may be served now on a route that lets copies be served for so long. */
-    public boolean isFresh(long now, long routeTtl) {
-        return now - requestedAt < Math.min(ttlMicros, routeTtl);
+    /** Whether it may be served now on a route with this time to live. */
+    public boolean isFresh(long now, long routeTtlMicros) {
+        return now - requestedAt < Math.min(ttlMicros, routeTtlMicros);
     }
 
-    /** About what it takes of memory, in bytes. */
+    /** Approximate memory use in bytes. */
     public int weightBytes() {
-        return body.length + OVERHEAD;
+        return body.length + OVERHEAD_BYTES;
     }
 
-    /** A header's value; null for none. Names in any case. */
+    /** The value of a header, by case-insensitive name; null if absent. */
     public String header(String name) {
         for (Map.Entry<String, String> header : headers) {
             if (header.getKey().equalsIgnoreCase(name)) {
--- a/src/main/java/gorsemast/cache/DemandTracker.java
+++ b/src/main/java/gorsemast/cache/DemandTracker.java
@@ -1,41 +1,48 @@
 package gorsemast.cache;
 
 /**
- * How much is asked for of one service's objects at this edge, and what follows for their homes.
+ * Estimates the request rate for one service's objects at this edge and decides from it whether each zone has its own
+ * homes.
  *
- * <p>A rate that forgets over {@link #SPAN_MICROS}; two bounds, so that homes do not change to and fro. One thread.
+ * <p>The rate decays exponentially over {@link #DECAY_MICROS}; two thresholds give hysteresis, so that homes do not
+ * flap. Not thread-safe.
  */
 public final class DemandTracker {
-    private static final double SPAN_MICROS = 4e6;
-    private static final double MICROS = 1e6;
-    /** Of what the servers bear: below the first part each zone may have homes, above the second they are shared. */
-    private static final double LOW = 0.9;
+    private static final double DECAY_MICROS = 4e6;
+    private static final double MICROS_PER_SECOND = 1e6;
+    /**
+     * Ratios to the servers' rate: below the first each zone gets its own homes, above the second all zones share
+     * theirs.
+     */
+    private static final double ENABLE_ZONES_RATIO = 0.9;
 
-    private static final double HIGH = 2;
+    private static final double DISABLE_ZONES_RATIO = 2;
 
-    private double rate;
-    private long last;
-    private boolean zoned = true;
+    private double ratePerSecond;
+    private long updatedAt;
+    private boolean homesPerZone = true;
 
-    /** One request. */
+    /** Records one request. */
     public void recordRequest(long now) {
-        rate = at(now) + MICROS / SPAN_MICROS;
-        last = now;
+        ratePerSecond = rateAt(now) + MICROS_PER_SECOND / DECAY_MICROS;
+        updatedAt = now;
     }
 
-    private double at(long now) {
-        return rate * Math.exp((last - now) / SPAN_MICROS);
+    private double rateAt(long now) {
+        return ratePerSecond * Math.exp((updatedAt - now) / DECAY_MICROS);
     }
 
     /**
-     * Whether each zone has homes of its own.
+     * Whether each zone has its own homes.
      *
-     * @param perSecond what the servers bear
-     * @param edges that are asked about as often as this one
+     * @param serverRatePerSecond requests that the servers accept
+     * @param edges number of edges, each assumed to have as many requests as this one
      */
-    public boolean homesPerZone(long now, double perSecond, int edges) {
-        double all = at(now) * edges;
-        zoned = zoned ? all < HIGH * perSecond : all < LOW * perSecond;
-        return zoned;
+    public boolean homesPerZone(long now, double serverRatePerSecond, int edges) {
+        double totalRate = rateAt(now) * edges;
+        homesPerZone = homesPerZone
+                ? totalRate < DISABLE_ZONES_RATIO * serverRatePerSecond
+                : totalRate < ENABLE_ZONES_RATIO * serverRatePerSecond;
+        return homesPerZone;
     }
 }
--- a/src/main/java/gorsemast/cache/EdgeWaiter.java
+++ b/src/main/java/gorsemast/cache/EdgeWaiter.java
@@ -1,53 +1,53 @@
 package gorsemast.cache;
 
-/** Another edge that waits for an object: told once, whatever comes later. One thread. */
+/** Another edge that waits for an object: only the first notification reaches it. Not thread-safe. */
 final class EdgeWaiter<A> implements ObjectWaiter<A> {
-    private final ObjectWaiter<A> edge;
-    private boolean over;
+    private final ObjectWaiter<A> delegate;
+    private boolean answered;
 
-    EdgeWaiter(ObjectWaiter<A> edge) {
-        this.edge = edge;
+    EdgeWaiter(ObjectWaiter<A> delegate) {
+        this.delegate = delegate;
     }
 
-    /** Whether it has been told. */
-    boolean isOver() {
-        return over;
+    /** Whether it has been notified. */
+    boolean isAnswered() {
+        return answered;
     }
 
-    private void once(Runnable tell) {
-        if (!over) {
-            over = true;
-            tell.run();
+    private void once(Runnable answer) {
+        if (!answered) {
+            answered = true;
+            answer.run();
         }
     }
 
     @Override
-    public void onResponse(CachedResponse copy, boolean once) {
-        once(() -> edge.onResponse(copy, once));
+    public void onResponse(CachedResponse response, boolean onceOnly) {
+        once(() -> delegate.onResponse(response, onceOnly));
     }
 
     @Override
     public void onUncacheable(A answer) {
-        once(() -> edge.onUncacheable(answer));
+        once(() -> delegate.onUncacheable(answer));
     }
 
     @Override
     public void onRefused(long retryAfterMicros) {
-        once(() -> edge.onRefused(retryAfterMicros));
+        once(() -> delegate.onRefused(retryAfterMicros));
     }
 
     @Override
     public void onFailed() {
-        once(edge::onFailed);
+        once(delegate::onFailed);
     }
 
     @Override
     public void onTooLong() {
-        once(edge::onTooLong);
+        once(delegate::onTooLong);
     }
 
     @Override
     public void onStillFetching() {
-        once(edge::onStillFetching);
+        once(delegate::onStillFetching);
     }
 }
--- a/src/main/java/gorsemast/cache/FetchCoordinator.java
+++ b/src/main/java/gorsemast/cache/FetchCoordinator.java
@@ -17,262 +17,283 @@
 import java.util.function.LongSupplier;
 
 /**
- * Decides where each object that is asked for comes from: a copy held here, a fetch that is out already, the object's home,
- * or its servers. Where few edges fetch, a home asks one of these.
+ * Decides where each requested object comes from: a response cached at this edge, a fetch that is already running,
+ * the object's home edge, or its servers. Where only a few edges may fetch from the servers, a home asks one of these
+ * fetchers.
  *
- * <p><b>Idea.</b> One fetch for all who ask meanwhile. A copy that another edge hands over is taken only where that edge knew
- * of the same purges when it handed it over as this one did when it asked; so a purge that has come here first can't be
- * undone by an edge that has not heard of it. What was asked for before a purge is held against that purge before it is put
- * on the shelf, and given at most to those who had asked by then. Fetches from servers count at this edge's part of what the
- * service bears; those that nobody waits for have half of it.
+ * <p>All requests that arrive during a fetch share it (single flight). A response from another edge is accepted only
+ * if that edge, when it sent it, knew of the same purges as this edge did when it asked; so a purge that has reached
+ * this edge can't be undone by an edge that has not received it yet. A response whose fetch began before a purge is
+ * checked against that purge before it is cached, and if the purge matches it is delivered only to those who were
+ * already waiting. Fetches from servers count against this edge's share of the service's rate; renewals that nobody
+ * waits for may use only half of it.
  *
- * <p><b>Bounds.</b> {@link ResponseCache}'s and as many fetches as there are requests. No I/O, no clock of its own, no threads:
- * {@link ObjectSources} carry out. One caller; times in microseconds.
+ * <p>Memory is bounded by {@link ResponseCache} and by one fetch for each open request. There is no I/O, no clock of
+ * its own and no thread: {@link ObjectSources} carry out the requests. Not thread-safe; times are in microseconds.
  *
- * @param <A> an answer that is no copy, passed on as it is
+ * @param <A> an answer that can't be cached and is passed on unchanged
  */
 public final class FetchCoordinator<A> {
-    /** Who asks: a client; an edge, as the object's home; a home, as the edge that fetches for it. */
+    /** Value of {@code hop} for a request that came from a client. */
     public static final int HOP_CLIENT = 0;
 
+    /** Value of {@code hop} for a request from another edge to the object's home. */
     public static final int HOP_HOME = 1;
+    /** Value of {@code hop} for a request from a home to the edge that fetches for it. */
     public static final int HOP_FETCHER = 2;
-    private static final long LEAST_LEFT = 60_000;
-    /** Renewed ahead, by one for all, in this last part of its time, where it is asked for often. */
-    private static final double RENEW_FROM = 0.8;
-    /** So many objects that are too long to be held are remembered. */
-    private static final int MOST_LONG = 1_024;
+    /** With less time than this left, other edges are not asked. */
+    private static final long MIN_REMAINING_MICROS = 60_000;
     /**
-     * What finds no room among what servers bear waits for so much of its aim at most, before it is refused: who is told early when
-     * to come back can still be served in time then.
+     * A response that is requested after this part of its lifetime is renewed ahead of expiry, by one fetch for all.
      */
-    private static final double WAITS_OF_AIM = 0.15;
-    /** Of the time that another edge waits, so much passes at most before it is answered. */
-    private static final double ANSWERS_WITHIN = 0.6;
-    /** So many homes are asked for one object. */
-    private static final int MOST_HOMES = 3;
-    /** Of the time that is left, so much is waited for a home, and by a home for who fetches for it. */
-    private static final double WAITS_FOR_HOME = 0.67;
-
-    private static final double WAITS_FOR_FETCHER = 0.9;
-    /** A fetch has the time that its route allows at most so often: for homes, for servers, and for an answer that is coming in. */
-    private static final int MOST_LIMITS = 3;
-
-    private static final long OVERDUE_SLACK = 1_000_000;
-    private static final int OVERDUE_CHECKS = 20;
-    /** When to come back where nothing better is known. */
+    private static final double RENEWAL_AGE_RATIO = 0.8;
+    /** How many objects that are too long to be cached are remembered. */
+    private static final int MAX_LONG_OBJECTS = 1_024;
+    /**
+     * A fetch without a permit waits for one at most for this part of the target latency before it is refused: a
+     * client that learns early when to retry can still be served in time.
+     */
+    private static final double MAX_PERMIT_WAIT_RATIO = 0.15;
+    /** Part of the requesting edge's time after which it is answered that the fetch is still running. */
+    private static final double STILL_FETCHING_REPLY_RATIO = 0.6;
+    /** How many other edges are asked for one object. */
+    private static final int MAX_EDGES_TRIED = 3;
+    /** Part of the remaining time that this edge waits for a home. */
+    private static final double HOME_TIMEOUT_RATIO = 0.67;
+
+    /** Part of the remaining time that a home waits for the edge that fetches for it. */
+    private static final double FETCHER_TIMEOUT_RATIO = 0.9;
+    /**
+     * The longest fetch takes the route's timeout this many times: for homes, for servers, and for a response that is
+     * still arriving.
+     */
+    private static final int MAX_ROUTE_TIMEOUTS = 3;
+
+    private static final long OVERDUE_SLACK_MICROS = 1_000_000;
+    /** A fetch that was found overdue in this many checks is reported as never ended. */
+    private static final int OVERDUE_CHECKS_TO_REPORT = 20;
+    /** When a refused client should retry if nothing better is known. */
     public static final long DEFAULT_RETRY_AFTER_MICROS = 300_000;
 
-    /** One fetch for all who ask meanwhile. */
+    /** One fetch, shared by all requests for its object that arrive meanwhile. */
     private final class Fetch {
-        private boolean over;
+        private boolean ended;
         private int overdueChecks;
-        private final ObjectRequest what;
+        private final ObjectRequest object;
         private final String key;
-        private final long purges = shelf.lastPurgeNumber();
-        private final long begun = clock.getAsLong();
+        private final long startPurgeNumber = cache.lastPurgeNumber();
+        private final long startedAt = clock.getAsLong();
         private final List<ObjectWaiter<A>> waiters = new ArrayList<>();
-        private int level;
-        private int homes;
+        private int stage;
+        private int edgesTried;
 
-        Fetch(ObjectRequest what, String key, int level) {
-            this.level = level;
-            this.what = what;
+        Fetch(ObjectRequest object, String key, int stage) {
+            this.stage = stage;
+            this.object = object;
             this.key = key;
-            live.add(this);
+            liveFetches.add(this);
         }
 
-        /** Whether it has been out for longer than its limits, one behind the other, allow. */
+        /** Whether the fetch has run for longer than all of its timeouts, one after another, allow. */
         private boolean isOverdue(long now) {
-            return now - begun > MOST_LIMITS * what.route().timeoutMicros() + OVERDUE_SLACK;
+            return now - startedAt > MAX_ROUTE_TIMEOUTS * object.route().timeoutMicros() + OVERDUE_SLACK_MICROS;
         }
 
-        /** It waits for somebody else from now on; one that a purge has taken out stays so. */
-        private void waitsAt(int next) {
-            if (fetches.get(level).remove(key, this)) {
-                level = next;
-                fetches.get(next).putIfAbsent(key, this);
+        /** Moves the fetch to the map of a later stage; one that a purge has removed from its map stays out. */
+        private void moveToStage(int next) {
+            if (fetchesByStage.get(stage).remove(key, this)) {
+                stage = next;
+                fetchesByStage.get(next).putIfAbsent(key, this);
             }
         }
 
-        /** Those who are to be told now; nobody where they have been told already. */
-        private List<ObjectWaiter<A>> over() {
-            if (over) {
+        /** Ends the fetch and returns the waiters to be notified; none if it had ended already. */
+        private List<ObjectWaiter<A>> end() {
+            if (ended) {
                 invariants.record(FetchInvariants.Violation.ENDED_TWICE);
                 return List.of();
             }
-            over = true;
-            live.remove(this);
-            fetches.get(level).remove(key, this);
+            ended = true;
+            liveFetches.remove(this);
+            fetchesByStage.get(stage).remove(key, this);
             return waiters;
         }
 
-        void here(CachedResponse copy) {
-            boolean once = shelf.purgedSince(purges, key, copy);
-            hot.recordSize(key, copy.body().length);
-            if (!once && what.route().ttlMicros() > 0) {
-                counters.add(FetchEvent.COPY_EVICTED, shelf.put(key, copy));
+        void succeed(CachedResponse response) {
+            boolean onceOnly = cache.purgedSince(startPurgeNumber, key, response);
+            hotObjects.recordSize(key, response.body().length);
+            if (!onceOnly && object.route().ttlMicros() > 0) {
+                counters.add(FetchEvent.COPY_EVICTED, cache.put(key, response));
             }
-            over().forEach(waiter -> waiter.onResponse(copy, once));
+            end().forEach(waiter -> waiter.onResponse(response, onceOnly));
         }
 
-        void other(A answer) {
-            over().forEach(waiter -> waiter.onUncacheable(answer));
+        void passThrough(A answer) {
+            end().forEach(waiter -> waiter.onUncacheable(answer));
         }
 
-        void refused(long retryAfter) {
-            over().forEach(waiter -> waiter.onRefused(retryAfter));
+        void refuse(long retryAfter) {
+            end().forEach(waiter -> waiter.onRefused(retryAfter));
         }
 
-        void failed() {
-            over().forEach(ObjectWaiter::onFailed);
+        void fail() {
+            end().forEach(ObjectWaiter::onFailed);
         }
 
-        void tooLong() {
-            longs.put(key, Boolean.TRUE);
-            over().forEach(ObjectWaiter::onTooLong);
+        void failTooLong() {
+            longObjects.put(key, Boolean.TRUE);
+            end().forEach(ObjectWaiter::onTooLong);
         }
     }
 
     private final LongSupplier clock;
-    private final ResponseCache shelf;
+    private final ResponseCache cache;
     private final HomeSelector homes;
-    private final GossipState board;
+    private final GossipState gossip;
     private final ObjectSources<A> sources;
     private final String self;
     private final long selfHash;
-    private final HotObjectTracker hot;
+    private final HotObjectTracker hotObjects;
     private final SplittableRandom random;
-    private final OriginPermits rights;
-    private final RetryDelay comeBack = new RetryDelay();
+    private final OriginPermits permits;
+    private final RetryDelay retryDelay = new RetryDelay();
     private final Map<String, DemandTracker> demands = new HashMap<>();
-    private final ResponseTimeoutEstimator patience = new ResponseTimeoutEstimator();
+    private final ResponseTimeoutEstimator timeoutEstimator = new ResponseTimeoutEstimator();
     /**
-     * By whom they wait for: a home, who fetches for it, servers. Who asks as one of these joins only what waits for somebody
-     * beyond him, so that a home never waits for itself.
+     * Running fetches by what they wait for: a home, a fetcher, or servers. A request from another edge joins only a
+     * fetch at its own stage or a later one, so that a home never waits for itself.
      */
-    private final List<Map<String, Fetch>> fetches = List.of(new HashMap<>(), new HashMap<>(), new HashMap<>());
-    /** Keys of objects that are too long to be held, those asked for last. */
-    private final Map<String, Boolean> longs = new LinkedHashMap<>(16, 0.75f, true) {
+    private final List<Map<String, Fetch>> fetchesByStage = List.of(new HashMap<>(), new HashMap<>(), new HashMap<>());
+    /** Keys of the most recently requested objects that are too long to be cached. */
+    private final Map<String, Boolean> longObjects = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-            return size() > MOST_LONG;
+            return size() > MAX_LONG_OBJECTS;
         }
     };
 
     private final EventCounters<FetchEvent> counters = new EventCounters<>(FetchEvent.class);
     private final FetchInvariants invariants = new FetchInvariants();
-    /** All that are out; also those that a purge has taken out of {@link #fetches}. */
-    private final Set<Fetch> live = new HashSet<>();
+    /** All running fetches, including those that a purge has removed from {@link #fetchesByStage}. */
+    private final Set<Fetch> liveFetches = new HashSet<>();
 
     /**
-     * At the edge with this address.
+     * Creates the coordinator of one edge.
      *
-     * @param window what the servers' rate is counted over
-     * @param linkBytes that its link carries a second; infinite where that is no bound
+     * @param self this edge's address
+     * @param windowMicros over which the servers' request rate is counted
+     * @param linkBytesPerSecond capacity of this edge's link; infinite if it is not a limit
      */
     public FetchCoordinator(
             String self,
             LongSupplier clock,
-            ResponseCache shelf,
+            ResponseCache cache,
             HomeSelector homes,
-            GossipState board,
-            long window,
-            double linkBytes,
+            GossipState gossip,
+            long windowMicros,
+            double linkBytesPerSecond,
             long seed,
             ObjectSources<A> sources) {
         this.self = self;
         this.selfHash = Hash.of(self);
-        this.hot = new HotObjectTracker(linkBytes);
+        this.hotObjects = new HotObjectTracker(linkBytesPerSecond);
         this.clock = clock;
-        this.shelf = shelf;
+        this.cache = cache;
         this.homes = homes;
-        this.board = board;
+        this.gossip = gossip;
         this.random = new SplittableRandom(seed);
         this.sources = sources;
-        this.rights = new OriginPermits(clock, homes, window, sources::serverRatePerSecond, sources::fetcherCount);
+        this.permits =
+                new OriginPermits(clock, homes, windowMicros, sources::serverRatePerSecond, sources::fetcherCount);
     }
 
-    /** What has happened to requests for objects since the start. */
+    /** Counts of what has happened to object requests since the start. */
     public EventCounters<FetchEvent> counters() {
         return counters;
     }
 
-    /** What this edge may send to servers. */
+    /** This edge's permits to send requests to servers. */
     OriginPermits permits() {
-        return rights;
+        return permits;
     }
 
-    /** What must hold, and how often it did not. */
+    /** The invariants of all fetches, with their violations. */
     public FetchInvariants invariants() {
         return invariants;
     }
 
     /**
-     * Checks what must hold; to be called each tick. A process that was stopped finds its timers late, so that a fetch counts only
-     * once it has been found overdue several times.
+     * Checks the invariants; call it on each tick. A process that was suspended finds its timers late, so a fetch is
+     * reported only after several checks have found it overdue.
      */
     public void checkInvariants() {
         long now = clock.getAsLong();
-        for (Fetch fetch : live) {
+        for (Fetch fetch : liveFetches) {
             fetch.overdueChecks += fetch.isOverdue(now) ? 1 : 0;
-            if (fetch.overdueChecks == OVERDUE_CHECKS) {
+            if (fetch.overdueChecks == OVERDUE_CHECKS_TO_REPORT) {
                 invariants.record(FetchInvariants.Violation.NEVER_ENDED);
             }
         }
-        if (rights.outstanding() > live.size()) {
+        if (permits.outstanding() > liveFetches.size()) {
             invariants.record(FetchInvariants.Violation.RIGHT_UNSETTLED);
         }
     }
 
-    /** A purge has become known. */
+    /** Applies a purge that this edge has received. */
     public void applyPurge(Entry item) {
         PurgeRequest purge = PurgeRequest.fromEntry(item);
         if (purge != null) {
-            shelf.purge(purge);
+            cache.purge(purge);
             if (purge.tag().isEmpty()) {
-                fetches.forEach(of -> of.keySet()
-                        .removeIf(key -> ResponseCache.matchesPath(purge, key))); // who asks from now on gets another
+                fetchesByStage.forEach(of -> of.keySet()
+                        .removeIf(key -> ResponseCache.matchesPath(purge, key))); // later requests start a new fetch
             }
         }
     }
 
-    /** Whether it is known to be too long to be held. */
-    public boolean isTooLongToCache(ObjectRequest what) {
-        return longs.get(what.key()) != null;
+    /** Whether the object is known to be too long to be cached. */
+    public boolean isTooLongToCache(ObjectRequest object) {
+        return longObjects.get(object.key()) != null;
     }
 
-    /** A client asks: a copy that may be served now, which is renewed where its time is nearly over; null for none. */
-    public CachedResponse lookUp(ObjectRequest what) {
+    /**
+     * Looks up an object for a client and renews it if it is close to expiry; returns the cached response if it may
+     * be served now, else null.
+     */
+    public CachedResponse lookUp(ObjectRequest object) {
         long now = clock.getAsLong();
-        String key = what.key();
-        demand(what.service()).recordRequest(now);
-        hot.recordRequest(now, key, what.route().ttlMicros());
+        String key = object.key();
+        demandOf(object.service()).recordRequest(now);
+        hotObjects.recordRequest(now, key, object.route().ttlMicros());
         counters.count(FetchEvent.CLIENT_ASKED);
-        CachedResponse copy = shelf.getFresh(now, key, what.route().ttlMicros());
-        if (copy != null) {
+        CachedResponse response = cache.getFresh(now, key, object.route().ttlMicros());
+        if (response != null) {
             counters.count(FetchEvent.CLIENT_HAD_COPY);
-            renew(now, key, copy, what);
+            renew(now, key, response, object);
         }
-        return copy;
+        return response;
     }
 
-    /** Asks for an object; {@code hop} says who asks, from {@link #HOP_CLIENT} on. */
-    public void request(ObjectRequest what, int hop, long giveUp, ObjectWaiter<A> waiter) {
+    /**
+     * Requests an object.
+     *
+     * @param hop who requests it: {@link #HOP_CLIENT}, {@link #HOP_HOME} or {@link #HOP_FETCHER}
+     */
+    public void request(ObjectRequest object, int hop, long deadline, ObjectWaiter<A> waiter) {
         if (hop <= HOP_CLIENT) {
-            find(what, HOP_CLIENT, giveUp, waiter);
+            findOrFetch(object, HOP_CLIENT, deadline, waiter);
             return;
         }
         counters.count(FetchEvent.EDGE_ASKED);
         long now = clock.getAsLong();
         EdgeWaiter<A> edge = new EdgeWaiter<>(waiter);
-        // What it asks for is of use to others too, so it is fetched for as long as its route allows.
-        find(what, Math.min(HOP_FETCHER, hop), now + what.route().timeoutMicros(), edge);
-        if (!edge.isOver()) {
-            sources.schedule((long) (ANSWERS_WITHIN * (giveUp - now)), () -> {
-                if (!edge.isOver()) {
+        // Others can use the object too, so the fetch may take as long as its route allows.
+        findOrFetch(object, Math.min(HOP_FETCHER, hop), now + object.route().timeoutMicros(), edge);
+        if (!edge.isAnswered()) {
+            sources.schedule((long) (STILL_FETCHING_REPLY_RATIO * (deadline - now)), () -> {
+                if (!edge.isAnswered()) {
                     counters.count(FetchEvent.EDGE_TOLD_IN_HAND);
                     edge.onStillFetching();
                 }
@@ -280,267 +301,288 @@
         }
     }
 
-    private void find(ObjectRequest what, int asked, long giveUp, ObjectWaiter<A> waiter) {
-        String key = what.key();
-        CachedResponse copy =
-                shelf.getFresh(clock.getAsLong(), key, what.route().ttlMicros());
-        if (copy != null) {
+    private void findOrFetch(ObjectRequest object, int hop, long deadline, ObjectWaiter<A> waiter) {
+        String key = object.key();
+        CachedResponse response =
+                cache.getFresh(clock.getAsLong(), key, object.route().ttlMicros());
+        if (response != null) {
             counters.count(FetchEvent.EDGE_HAD_COPY);
-            waiter.onResponse(copy, false);
+            waiter.onResponse(response, false);
             return;
         }
-        if (shelf.peek(key) != null) {
+        if (cache.peek(key) != null) {
             counters.count(FetchEvent.COPY_EXPIRED);
         }
-        for (int at = HOP_FETCHER; at >= asked; at--) {
-            Fetch fetch = fetches.get(at).get(key);
+        for (int at = HOP_FETCHER; at >= hop; at--) {
+            Fetch fetch = fetchesByStage.get(at).get(key);
             if (fetch != null) {
                 counters.count(FetchEvent.JOINED);
                 fetch.waiters.add(waiter);
                 return;
             }
         }
-        Fetch fetch = new Fetch(what, key, asked);
+        Fetch fetch = new Fetch(object, key, hop);
         fetch.waiters.add(waiter);
-        fetches.get(asked).put(key, fetch);
-        begin(fetch, asked, giveUp);
+        fetchesByStage.get(hop).put(key, fetch);
+        startNextStage(fetch, hop, deadline);
     }
 
     /**
-     * Where an object comes from next: its home, which is one of all edges and carries the bytes; from there, where only a
-     * part of the edges fetch, the one of them that does so for this key; from there its servers.
+     * Selects where a fetch goes next: from a client's edge to the home, which is one of all edges and so spreads the
+     * bytes; from the home, where only some edges fetch, to the fetcher for this key; from there to the servers.
      */
-    private void begin(Fetch fetch, int hop, long giveUp) {
+    private void startNextStage(Fetch fetch, int hop, long deadline) {
         long now = clock.getAsLong();
-        String service = fetch.what.service();
-        int many = sources.fetcherCount(service);
-        boolean all = many >= homes.edgeCount();
-        String next = hop == HOP_CLIENT ? homes.homeOf(now, homeKey(fetch), all && zoned(service)) : self;
-        int told = HOP_HOME;
-        if (next.equals(self) && hop < HOP_FETCHER && !homes.isFetcher(service, many)) {
-            next = homes.homeOf(now, fetch.key, false, service, many);
-            told = HOP_FETCHER;
+        String service = fetch.object.service();
+        int fetcherCount = sources.fetcherCount(service);
+        boolean allFetch = fetcherCount >= homes.edgeCount();
+        String next =
+                hop == HOP_CLIENT ? homes.homeOf(now, homeKey(fetch), allFetch && hasHomesPerZone(service)) : self;
+        int nextHop = HOP_HOME;
+        if (next.equals(self) && hop < HOP_FETCHER && !homes.isFetcher(service, fetcherCount)) {
+            next = homes.homeOf(now, fetch.key, false, service, fetcherCount);
+            nextHop = HOP_FETCHER;
         }
         if (homes.skippedHigherRanked()) {
             counters.count(FetchEvent.PASSED_OVER);
         }
-        if (next.equals(self) || giveUp - now < LEAST_LEFT) {
-            servers(fetch, fetch.waiters.isEmpty());
+        if (next.equals(self) || deadline - now < MIN_REMAINING_MICROS) {
+            requestFromServers(fetch, fetch.waiters.isEmpty());
         } else {
-            double part = hop == HOP_CLIENT ? WAITS_FOR_HOME : WAITS_FOR_FETCHER;
-            long patient = patience.timeoutMicros(fetch.what.route().targetLatencyMicros());
-            home(fetch, next, told, giveUp, (long) Math.min(patient, part * (giveUp - now)));
+            double timeoutRatio = hop == HOP_CLIENT ? HOME_TIMEOUT_RATIO : FETCHER_TIMEOUT_RATIO;
+            long estimatedTimeout =
+                    timeoutEstimator.timeoutMicros(fetch.object.route().targetLatencyMicros());
+            requestFromEdge(
+                    fetch, next, nextHop, deadline, (long) Math.min(estimatedTimeout, timeoutRatio * (deadline - now)));
         }
     }
 
-    /** What names the home that this edge asks: the object's key, with a number where it has several homes. */
+    /**
+     * The key by which this edge selects the home: the object's key, with a number appended if the object has several
+     * homes.
+     */
     private String homeKey(Fetch fetch) {
-        int count = hot.homeCount(fetch.key, fetch.what.route().ttlMicros(), homes.edgeCount());
-        long which = Math.floorMod(selfHash, (long) count);
-        return which == 0 ? fetch.key : fetch.key + ' ' + which; // no key has a space
+        int count = hotObjects.homeCount(fetch.key, fetch.object.route().ttlMicros(), homes.edgeCount());
+        long homeIndex = Math.floorMod(selfHash, (long) count);
+        return homeIndex == 0
+                ? fetch.key
+                : fetch.key + ' ' + homeIndex; // a URI has no space, so this is no object's key
     }
 
-    /** Who was asked did not answer: the next one by rank, or else the servers. */
-    private void afterSilence(Fetch fetch, int hop, long giveUp) {
-        if (fetch.homes < MOST_HOMES) {
-            begin(fetch, hop - 1, giveUp);
+    /** Continues after an edge did not answer: with the next edge by rank, or with the servers. */
+    private void continueAfterSilence(Fetch fetch, int hop, long deadline) {
+        if (fetch.edgesTried < MAX_EDGES_TRIED) {
+            startNextStage(fetch, hop - 1, deadline);
         } else {
-            servers(fetch, false);
+            requestFromServers(fetch, false);
         }
     }
 
-    /** A home was of no use: the edge that fetches, where this is none, or else the servers. */
-    private void beyond(Fetch fetch, long giveUp) {
-        String service = fetch.what.service();
-        if (fetch.homes < MOST_HOMES && !homes.isFetcher(service, sources.fetcherCount(service))) {
-            begin(fetch, HOP_HOME, giveUp);
+    /** Continues after an unusable answer: with a fetcher if this edge is not one, or with the servers. */
+    private void continueAfterUnusable(Fetch fetch, long deadline) {
+        String service = fetch.object.service();
+        if (fetch.edgesTried < MAX_EDGES_TRIED && !homes.isFetcher(service, sources.fetcherCount(service))) {
+            startNextStage(fetch, HOP_HOME, deadline);
         } else {
-            servers(fetch, false);
+            requestFromServers(fetch, false);
         }
     }
 
-    /** A copy that is asked for near its end is fetched anew before it has ended; nobody waits for that. */
-    private void renew(long now, String key, CachedResponse copy, ObjectRequest what) {
-        long life = Math.min(copy.ttlMicros(), what.route().ttlMicros());
-        if (now - copy.requestedAt() > RENEW_FROM * life && fetches.stream().noneMatch(of -> of.containsKey(key))) {
+    /** Refetches a response that is requested close to its expiry; nobody waits for the result. */
+    private void renew(long now, String key, CachedResponse response, ObjectRequest object) {
+        long lifetime = Math.min(response.ttlMicros(), object.route().ttlMicros());
+        if (now - response.requestedAt() > RENEWAL_AGE_RATIO * lifetime
+                && fetchesByStage.stream().noneMatch(of -> of.containsKey(key))) {
             counters.count(FetchEvent.RENEWAL);
-            Fetch fetch = new Fetch(what, key, HOP_CLIENT);
-            fetches.get(HOP_CLIENT).put(key, fetch);
-            begin(fetch, HOP_CLIENT, now + what.route().timeoutMicros());
+            Fetch fetch = new Fetch(object, key, HOP_CLIENT);
+            fetchesByStage.get(HOP_CLIENT).put(key, fetch);
+            startNextStage(fetch, HOP_CLIENT, now + object.route().timeoutMicros());
         }
     }
 
-    private void home(Fetch fetch, String home, int hop, long giveUp, long wait) {
-        fetch.homes++;
-        fetch.waitsAt(hop - 1);
-        ask(fetch, new HomeRequest(home, fetch.what, hop, board.purgeDigest(), fetch.begun, wait, giveUp));
+    private void requestFromEdge(Fetch fetch, String edge, int hop, long deadline, long responseTimeout) {
+        fetch.edgesTried++;
+        fetch.moveToStage(hop - 1);
+        sendRequest(
+                fetch,
+                new HomeRequest(
+                        edge, fetch.object, hop, gossip.purgeDigest(), fetch.startedAt, responseTimeout, deadline));
     }
 
-    private void ask(Fetch fetch, HomeRequest question) {
-        long asked = clock.getAsLong();
-        String home = question.edge();
-        long giveUp = question.deadline();
-        boolean atHome = question.hop() == HOP_HOME;
+    private void sendRequest(Fetch fetch, HomeRequest request) {
+        long requestedAt = clock.getAsLong();
+        String edge = request.edge();
+        long deadline = request.deadline();
+        boolean atHome = request.hop() == HOP_HOME;
         counters.count(atHome ? FetchEvent.HOME_ASKED : FetchEvent.FETCHER_ASKED);
-        sources.requestFromEdge(question, new HomeResponseListener<>() {
-            private void answered() {
+        sources.requestFromEdge(request, new HomeResponseListener<>() {
+            private void recordAnswer() {
                 long now = clock.getAsLong();
-                patience.recordResponse(now - asked);
-                homes.recordAnswer(now, home);
+                timeoutEstimator.recordResponse(now - requestedAt);
+                homes.recordAnswer(now, edge);
             }
 
             private void count(FetchEvent ofHome, FetchEvent ofFetcher) {
-                counters.count(atHome ? ofHome : ofFetcher, clock.getAsLong() - asked);
+                counters.count(atHome ? ofHome : ofFetcher, clock.getAsLong() - requestedAt);
             }
 
             @Override
-            public void copy(CachedResponse copy) {
-                answered();
+            public void onResponse(CachedResponse response) {
+                recordAnswer();
                 count(FetchEvent.HOME_COPY, FetchEvent.FETCHER_COPY);
-                fetch.here(copy);
+                fetch.succeed(response);
             }
 
             @Override
             public void onUncacheable(A answer) {
-                answered();
-                fetch.other(answer);
+                recordAnswer();
+                fetch.passThrough(answer);
             }
 
             @Override
             public void onRefused(long retryAfter) {
-                answered();
+                recordAnswer();
                 count(FetchEvent.HOME_REFUSED, FetchEvent.FETCHER_REFUSED);
-                fetch.refused(retryAfter);
+                fetch.refuse(retryAfter);
             }
 
             @Override
             public void onUnusable() {
-                answered();
+                recordAnswer();
                 count(FetchEvent.HOME_USELESS, FetchEvent.FETCHER_USELESS);
-                beyond(fetch, giveUp);
+                continueAfterUnusable(fetch, deadline);
             }
 
             @Override
             public void onSilent(boolean ours) {
                 count(FetchEvent.HOME_SILENT, FetchEvent.FETCHER_SILENT);
                 if (ours) {
-                    fetch.refused(DEFAULT_RETRY_AFTER_MICROS);
+                    fetch.refuse(DEFAULT_RETRY_AFTER_MICROS);
                 } else {
-                    if (!homes.recordFailure(clock.getAsLong(), home, asked)) {
+                    if (!homes.recordFailure(clock.getAsLong(), edge, requestedAt)) {
                         counters.count(FetchEvent.SILENT_TO_ONE);
                     }
-                    afterSilence(fetch, question.hop(), giveUp);
+                    continueAfterSilence(fetch, request.hop(), deadline);
                 }
             }
 
             @Override
             public void onStillFetching() {
-                homes.recordAnswer(clock.getAsLong(), home);
+                homes.recordAnswer(clock.getAsLong(), edge);
                 count(FetchEvent.HOME_IN_HAND, FetchEvent.FETCHER_IN_HAND);
-                long left = giveUp - clock.getAsLong();
-                if (left < LEAST_LEFT) {
-                    fetch.refused(
-                            DEFAULT_RETRY_AFTER_MICROS); // some of those who wait have time left to come back, and will
+                long remaining = deadline - clock.getAsLong();
+                if (remaining < MIN_REMAINING_MICROS) {
+                    fetch.refuse(
+                            DEFAULT_RETRY_AFTER_MICROS); // some waiters have time left to retry and will find it cached
                     // find it
                 } else {
-                    ask(fetch, question.retry(board.purgeDigest(), Math.min(question.responseTimeout(), left)));
+                    sendRequest(
+                            fetch, request.retry(gossip.purgeDigest(), Math.min(request.responseTimeout(), remaining)));
                 }
             }
         });
     }
 
-    /** Whether one more may go to a service's servers now, a further attempt or one for no object; it is counted if so. */
+    /**
+     * Takes a permit for one more request to a service's servers, for a further attempt or a request without an
+     * object; false if none is available.
+     */
     public boolean tryAcquirePermit(String service) {
-        OriginPermits.Permit right = rights.tryAcquire(service, false);
-        if (right != null) {
-            right.markUsed();
+        OriginPermits.Permit permit = permits.tryAcquire(service, false);
+        if (permit != null) {
+            permit.markUsed();
         }
-        return right != null;
+        return permit != null;
     }
 
-    private DemandTracker demand(String service) {
+    private DemandTracker demandOf(String service) {
         return demands.computeIfAbsent(service, name -> new DemandTracker());
     }
 
     /**
-     * Whether each zone has a home for itself: while all that is asked for is well below what the servers bear, so that
-     * they would bear it even if nothing were held.
+     * Whether each zone has its own homes: while total demand is so far below the servers' rate that they could serve
+     * it with nothing cached.
      */
-    private boolean zoned(String service) {
-        return demand(service).homesPerZone(clock.getAsLong(), sources.serverRatePerSecond(service), homes.edgeCount());
+    private boolean hasHomesPerZone(String service) {
+        return demandOf(service)
+                .homesPerZone(clock.getAsLong(), sources.serverRatePerSecond(service), homes.edgeCount());
     }
 
-    private void servers(Fetch fetch, boolean ahead) {
-        long asked = clock.getAsLong();
-        fetch.waitsAt(HOP_FETCHER);
-        String service = fetch.what.route().selectService(random.nextDouble());
-        OriginPermits.Permit right = rights.tryAcquire(service, ahead);
-        if (right == null) {
-            long roomIn = rights.microsUntilAvailable(service);
-            if (!ahead
-                    && asked + roomIn - fetch.begun
-                            < WAITS_OF_AIM * fetch.what.route().targetLatencyMicros()) {
+    private void requestFromServers(Fetch fetch, boolean prefetch) {
+        long requestedAt = clock.getAsLong();
+        fetch.moveToStage(HOP_FETCHER);
+        String service = fetch.object.route().selectService(random.nextDouble());
+        OriginPermits.Permit permit = permits.tryAcquire(service, prefetch);
+        if (permit == null) {
+            long wait = permits.microsUntilAvailable(service);
+            if (!prefetch
+                    && requestedAt + wait - fetch.startedAt
+                            < MAX_PERMIT_WAIT_RATIO * fetch.object.route().targetLatencyMicros()) {
                 counters.count(FetchEvent.RIGHT_AWAITED);
-                sources.schedule(roomIn, () -> servers(fetch, false)); // in time yet
+                sources.schedule(wait, () -> requestFromServers(fetch, false)); // still in time
             } else {
                 counters.count(FetchEvent.RIGHT_REFUSED);
-                fetch.refused(comeBack.recordRefused(roomIn, random.nextDouble()));
+                fetch.refuse(retryDelay.recordRefused(wait, random.nextDouble()));
             }
             return;
         }
         counters.count(FetchEvent.RIGHT_TAKEN);
         boolean known = sources.requestFromServers(
-                service, fetch.what, asked, asked + fetch.what.route().timeoutMicros(), new ServerResponseListener<>() {
+                service,
+                fetch.object,
+                requestedAt,
+                requestedAt + fetch.object.route().timeoutMicros(),
+                new ServerResponseListener<>() {
                     private void count(FetchEvent event) {
-                        counters.count(event, clock.getAsLong() - asked);
+                        counters.count(event, clock.getAsLong() - requestedAt);
                     }
 
                     @Override
-                    public void copy(CachedResponse copy) {
+                    public void onResponse(CachedResponse response) {
                         count(FetchEvent.SERVERS_COPY);
-                        right.markUsed();
-                        comeBack.recordServed();
-                        fetch.here(copy);
+                        permit.markUsed();
+                        retryDelay.recordServed();
+                        fetch.succeed(response);
                     }
 
                     @Override
                     public void onUncacheable(A answer) {
                         count(FetchEvent.SERVERS_OTHER);
-                        right.markUsed();
-                        fetch.other(answer);
+                        permit.markUsed();
+                        fetch.passThrough(answer);
                     }
 
                     @Override
                     public void onRefused(long retryAfter) {
                         count(FetchEvent.SERVERS_REFUSED);
-                        right.markUsed();
-                        fetch.refused(retryAfter);
+                        permit.markUsed();
+                        fetch.refuse(retryAfter);
                     }
 
                     @Override
                     public void onNotSent(long retryAfter) {
                         count(FetchEvent.SERVERS_NOT_SENT);
-                        right.release();
-                        fetch.refused(retryAfter);
+                        permit.release();
+                        fetch.refuse(retryAfter);
                     }
 
                     @Override
                     public void onFailed() {
                         count(FetchEvent.SERVERS_FAILED);
-                        right.markUsed();
-                        fetch.failed();
+                        permit.markUsed();
+                        fetch.fail();
                     }
 
                     @Override
                     public void onTooLong() {
                         count(FetchEvent.SERVERS_TOO_LONG);
-                        right.markUsed();
-                        fetch.tooLong();
+                        permit.markUsed();
+                        fetch.failTooLong();
                     }
                 });
         if (!known) {
-            right.release();
-            fetch.refused(DEFAULT_RETRY_AFTER_MICROS);
+            permit.release();
+            fetch.refuse(DEFAULT_RETRY_AFTER_MICROS);
         }
     }
 }
--- a/src/main/java/gorsemast/cache/FetchEvent.java
+++ b/src/main/java/gorsemast/cache/FetchEvent.java
@@ -1,31 +1,31 @@
 package gorsemast.cache;
 
-/** What happens to requests for objects at one edge, each counted by {@link gorsemast.observe.EventCounters}. */
+/** Events in the handling of object requests at one edge, each counted by {@link gorsemast.observe.EventCounters}. */
 public enum FetchEvent {
-    /** A client asked; one of the next three follows. */
+    /** A client requested an object; one of the next three events follows. */
     CLIENT_ASKED,
     CLIENT_HAD_COPY,
-    /** A fetch of the same object was out already; also where another edge asked. */
+    /** A fetch of the same object was already running; also counted for requests from other edges. */
     JOINED,
-    /** A copy near its end was asked for again, with nobody waiting. */
+    /** A cached response close to its expiry was requested again, with nobody waiting. */
     RENEWAL,
-    /** Another edge asked, as the object's home or as the one that fetches for it. */
+    /** Another edge requested an object, from this edge as its home or as a fetcher. */
     EDGE_ASKED,
     EDGE_HAD_COPY,
-    /** Its time was nearly over while the object was being fetched. */
+    /** The requesting edge's time was nearly over while the object was still being fetched. */
     EDGE_TOLD_IN_HAND,
-    /** A copy was there and its time was over. */
+    /** A cached response existed but had expired. */
     COPY_EXPIRED,
-    /** The edge that ranks first for an object was passed over, as it had not answered before. */
+    /** The highest-ranked edge for an object was skipped because it had not answered before. */
     PASSED_OVER,
-    /** An edge that did not answer this one in time has answered others meanwhile; it is not passed over. */
+    /** An edge that did not answer this request in time has answered others meanwhile; it is not skipped. */
     SILENT_TO_ONE,
-    /** A copy gave way to others for want of room, of which one may be asked for again. */
+    /** A cached response was evicted for lack of space; it may be requested again. */
     COPY_EVICTED,
     HOME_ASKED,
     HOME_COPY,
     HOME_REFUSED,
-    /** It answered with nothing to go by: it knows of other purges, or failed. */
+    /** The home's answer was unusable: it knows of other purges, or it failed. */
     HOME_USELESS,
     HOME_IN_HAND,
     HOME_SILENT,
@@ -35,15 +35,15 @@
     FETCHER_USELESS,
     FETCHER_IN_HAND,
     FETCHER_SILENT,
-    /** One of what the service bears was taken; one of the last six follows. */
+    /** A permit was taken from the service's rate; one of the last six events follows. */
     RIGHT_TAKEN,
     RIGHT_AWAITED,
-    /** No room among what the service bears, now or in time. */
+    /** The service's rate allows no further request now or in time. */
     RIGHT_REFUSED,
     SERVERS_COPY,
     SERVERS_OTHER,
     SERVERS_REFUSED,
-    /** The decision module sent nothing; the right was given back. */
+    /** The decision module sent nothing; the permit was released. */
     SERVERS_NOT_SENT,
     SERVERS_FAILED,
     SERVERS_TOO_LONG
--- a/src/main/java/gorsemast/cache/FetchInvariants.java
+++ b/src/main/java/gorsemast/cache/FetchInvariants.java
@@ -4,34 +4,36 @@
 import java.util.StringJoiner;
 
 /**
- * What must hold of all fetches, whoever is killed, frozen or cut off, checked while the program runs: each ends exactly once and
- * within its time, and each right to send is used or given back by then. Violations are counted, and nothing else follows from
- * them. O(1) an event; one thread.
+ * Invariants of all fetches, checked while the program runs and valid whichever process is killed, suspended or
+ * disconnected: each fetch ends exactly once and within its time, and each permit is used or released by then.
+ * Violations are counted and have no other effect. O(1) per event; not thread-safe.
  */
 public final class FetchInvariants {
-    /** What was violated. */
+    /** The invariant that was violated. Its lower-case name is written to the log. */
     public enum Violation {
-        /** Whoever was asked has answered twice: the second answer was dropped. */
+        /** The same fetch was answered twice: the second answer was dropped. */
         ENDED_TWICE,
-        /** A fetch is out for longer than any of its limits allow, and all who ask for its object wait with it. */
+        /**
+         * A fetch has run for longer than all of its timeouts allow, and all requests for its object wait with it.
+         */
         NEVER_ENDED,
-        /** More rights are taken than fetches are out: one was neither used nor given back. */
+        /** More permits are taken than fetches are running: one was neither used nor released. */
         RIGHT_UNSETTLED
     }
 
     private final long[] counts = new long[Violation.values().length];
 
-    /** It was violated once more. */
-    void record(Violation what) {
-        counts[what.ordinal()]++;
+    /** Counts a violation. */
+    void record(Violation violation) {
+        counts[violation.ordinal()]++;
     }
 
-    /** How often it was violated since the start. */
-    public long count(Violation what) {
-        return counts[what.ordinal()];
+    /** How often this invariant was violated since the start. */
+    public long count(Violation violation) {
+        return counts[violation.ordinal()];
     }
 
-    /** How often anything was. */
+    /** How often any invariant was violated. */
     public long total() {
         long sum = 0;
         for (long count : counts) {
@@ -40,7 +42,7 @@
         return sum;
     }
 
-    /** What was violated, as words for the log. */
+    /** Describes the violations for the log. */
     public String describe() {
         StringJoiner words = new StringJoiner(", ");
         for (Violation what : Violation.values()) {
--- a/src/main/java/gorsemast/cache/HomeRequest.java
+++ b/src/main/java/gorsemast/cache/HomeRequest.java
@@ -1,15 +1,16 @@
 package gorsemast.cache;
 
 /**
- * A question to another edge for an object. Times in microseconds.
+ * A request for an object to another edge. Times are in microseconds.
  *
- * @param edge who is asked, by its address
- * @param hop whether as the object's home or as the edge that fetches for it: {@link FetchCoordinator#HOP_HOME} or
- *     {@link FetchCoordinator#HOP_FETCHER}
- * @param purgeDigest the digest of the purges that this edge knows of; only who knows the same may hand a copy over
- * @param fetchStartedAt since when the object is being fetched here: a copy's age counts from then
- * @param responseTimeout it is silent when nothing of an answer has come for so long
- * @param deadline when an answer that is still coming in is of no use any more
+ * @param edge address of the edge that is asked
+ * @param hop whether it is asked as the object's home or as a fetcher: {@link FetchCoordinator#HOP_HOME} or {@link
+ *     FetchCoordinator#HOP_FETCHER}
+ * @param purgeDigest digest of the purges that this edge knows of; only an edge that knows the same may send a
+ *     response
+ * @param fetchStartedAt when the fetch started here: the age of a response counts from then
+ * @param responseTimeout the edge counts as silent if no part of an answer has arrived for this long
+ * @param deadline after which an answer that is still arriving is useless
  */
 public record HomeRequest(
         String edge,
@@ -19,8 +20,8 @@
         long fetchStartedAt,
         long responseTimeout,
         long deadline) {
-    /** The same again, of an edge that is still fetching. */
-    HomeRequest retry(long currentStep, long nextPatience) {
-        return new HomeRequest(edge, object, hop, currentStep, fetchStartedAt, nextPatience, deadline);
+    /** The same request again, to an edge that is still fetching. */
+    HomeRequest retry(long currentPurgeDigest, long nextTimeout) {
+        return new HomeRequest(edge, object, hop, currentPurgeDigest, fetchStartedAt, nextTimeout, deadline);
     }
 }
--- a/src/main/java/gorsemast/cache/HomeResponseListener.java
+++ b/src/main/java/gorsemast/cache/HomeResponseListener.java
@@ -1,26 +1,26 @@
 package gorsemast.cache;
 
 /**
- * How a question to another edge ended; one of these is called, once.
+ * Receives the outcome of a request to another edge; exactly one method is called, once.
  *
- * @param <A> an answer that is no copy
+ * @param <A> an answer that can't be cached
  */
 public interface HomeResponseListener<A> {
-    /** A copy that may be held here as well. */
-    void copy(CachedResponse copy);
+    /** The response, which may be cached here as well. */
+    void onResponse(CachedResponse response);
 
-    /** An answer that is no copy; only lent. */
+    /** An answer that can't be cached; the receiver does not own it. */
     void onUncacheable(A answer);
 
-    /** It is not to be had there now: come back then. */
+    /** The object is not available there now: retry after this time. */
     void onRefused(long retryAfterMicros);
 
-    /** It answered, with nothing to go by. */
+    /** It answered, but the answer can't be used. */
     void onUnusable();
 
     /** It is still fetching the object. */
     void onStillFetching();
 
-    /** It did not answer in time; {@code ours} where that was this edge's own doing. */
-    void onSilent(boolean ours);
+    /** It did not answer in time; {@code localCause} if this edge itself was the reason. */
+    void onSilent(boolean localCause);
 }
--- a/src/main/java/gorsemast/cache/HomeSelector.java
+++ b/src/main/java/gorsemast/cache/HomeSelector.java
@@ -9,31 +9,31 @@
 import java.util.Set;
 
 /**
- * Which edge is an object's home, by rendezvous over all that are believed to be up, or over those of them that fetch a
- * service's objects. One that has just failed to answer is passed over for a while, by this edge alone. O(edges) a key.
- * Times in microseconds; one thread.
+ * Selects an object's home edge by rendezvous hashing over all edges that are believed to be up, or over those that
+ * fetch a service's objects. An edge that recently failed to answer is skipped for a while, by this edge only.
+ * O(edges) per key. Not thread-safe; times are in microseconds.
  */
 public final class HomeSelector {
-    /** For so long one that failed is passed over; doubled at each failure in a row. */
+    /** How long an edge is skipped after a failure; doubled at each consecutive one up to the maximum. */
     static final long MIN_SKIP_MICROS = 500_000;
 
     static final long MAX_SKIP_MICROS = 4_000_000;
 
-    private static final class Away {
+    private static final class Skip {
         private long until;
         private long failedAt;
-        private long span = MIN_SKIP_MICROS;
+        private long skipMicros = MIN_SKIP_MICROS;
     }
 
-    private record Edge(String ip, String zone, long hash) {}
+    private record Edge(String address, String zone, long hash) {}
 
     /**
-     * Where this edge stands among those that share what a service's servers bear.
+     * This edge's position among the edges that share the request rate of a service's servers.
      *
-     * @param allFetch whether all edges fetch its objects
-     * @param isFetcher whether this edge does
-     * @param index its place, from 0 on, among those that do, or among those that don't
-     * @param count how many those are
+     * @param allFetch whether all edges fetch the service's objects
+     * @param isFetcher whether this edge fetches them
+     * @param index its position, from 0, among the fetchers if it is one, else among the other edges
+     * @param count number of edges in that group
      */
     public record SharePosition(boolean allFetch, boolean isFetcher, int index, int count) {}
 
@@ -41,161 +41,162 @@
     private final long selfHash;
     private final String zone;
     private List<Edge> edges = List.of();
-    private Map<String, String> zones = Map.of();
-    /** The edges that fetch a service's objects, where these are not all. */
-    private final Map<String, Set<String>> fetchers = new HashMap<>();
+    private Map<String, String> zoneByEdge = Map.of();
+    /** The edges that fetch a service's objects, where not all do. */
+    private final Map<String, Set<String>> fetchersByService = new HashMap<>();
 
-    private final Map<String, SharePosition> places = new HashMap<>();
+    private final Map<String, SharePosition> positions = new HashMap<>();
 
-    private final Map<String, Away> away = new HashMap<>();
-    /** When each edge has last answered. */
+    private final Map<String, Skip> skips = new HashMap<>();
+    /** When each edge last answered. */
     private final Map<String, Long> answeredAt = new HashMap<>();
 
-    private boolean passedOver;
+    private boolean skippedHigherRanked;
 
-    /** Of the edge with this address. */
+    /** Creates the selector of the edge with this address. */
     public HomeSelector(String self, String zone) {
         this.self = self;
         this.selfHash = Hash.of(self);
         this.zone = zone;
     }
 
-    /** All edges that are up, with their zones. */
-    public void updateEdges(Map<String, String> up) {
-        if (up.equals(zones)) {
+    /** Sets all edges that are up, with their zones. */
+    public void updateEdges(Map<String, String> edgeZones) {
+        if (edgeZones.equals(zoneByEdge)) {
             return;
         }
-        zones = Map.copyOf(up);
+        zoneByEdge = Map.copyOf(edgeZones);
         List<Edge> next = new ArrayList<>();
-        zones.forEach((ip, at) -> next.add(new Edge(ip, at, Hash.of(ip))));
+        zoneByEdge.forEach((address, edgeZone) -> next.add(new Edge(address, edgeZone, Hash.of(address))));
         edges = next;
-        fetchers.clear();
-        places.clear();
-        away.keySet().retainAll(zones.keySet());
-        answeredAt.keySet().retainAll(zones.keySet());
+        fetchersByService.clear();
+        positions.clear();
+        skips.keySet().retainAll(zoneByEdge.keySet());
+        answeredAt.keySet().retainAll(zoneByEdge.keySet());
     }
 
-    /** How many there are, this one among them. */
+    /** The number of edges, including this one. */
     public int edgeCount() {
-        return Math.max(1, zones.containsKey(self) ? zones.size() : zones.size() + 1);
+        return Math.max(1, zoneByEdge.containsKey(self) ? zoneByEdge.size() : zoneByEdge.size() + 1);
     }
 
-    /** Whether this edge is one of the {@code many} that fetch a service's objects. */
-    public boolean isFetcher(String service, int many) {
-        return many >= edgeCount() || fetchers(service, many).contains(self);
+    /** Whether this edge is one of the {@code fetcherCount} edges that fetch a service's objects. */
+    public boolean isFetcher(String service, int fetcherCount) {
+        return fetcherCount >= edgeCount() || fetchers(service, fetcherCount).contains(self);
     }
 
-    private List<String> ranked(String service) {
-        Set<String> all = new HashSet<>(zones.keySet());
+    private List<String> rankedEdges(String service) {
+        Set<String> all = new HashSet<>(zoneByEdge.keySet());
         all.add(self);
         return Hash.ranked("fetches " + service, all);
     }
 
-    private Set<String> fetchers(String service, int many) {
-        Set<String> known = fetchers.get(service);
-        if (known == null || known.size() != Math.min(many, edgeCount())) {
-            List<String> all = ranked(service);
-            known = new HashSet<>(all.subList(0, Math.min(many, all.size())));
-            fetchers.put(service, known);
+    private Set<String> fetchers(String service, int fetcherCount) {
+        Set<String> selected = fetchersByService.get(service);
+        if (selected == null || selected.size() != Math.min(fetcherCount, edgeCount())) {
+            List<String> all = rankedEdges(service);
+            selected = new HashSet<>(all.subList(0, Math.min(fetcherCount, all.size())));
+            fetchersByService.put(service, selected);
         }
-        return known;
+        return selected;
     }
 
-    /** Where this edge stands where {@code many} edges fetch a service's objects; edges that know the same agree. */
-    public SharePosition sharePosition(String service, int many) {
+    /**
+     * This edge's position if {@code fetcherCount} edges fetch a service's objects; edges with the same view agree.
+     */
+    public SharePosition sharePosition(String service, int fetcherCount) {
         int edges = edgeCount();
-        int some = Math.max(1, Math.min(many, edges));
-        SharePosition known = places.get(service);
-        boolean same = known != null
-                && (known.allFetch()
-                        ? some == edges
-                        : known.isFetcher() ? known.count() == some : known.count() == edges - some);
+        int fetching = Math.max(1, Math.min(fetcherCount, edges));
+        SharePosition position = positions.get(service);
+        boolean same = position != null
+                && (position.allFetch()
+                        ? fetching == edges
+                        : position.isFetcher() ? position.count() == fetching : position.count() == edges - fetching);
         if (!same) {
-            int index = ranked(service).indexOf(self);
-            boolean fetches = index < some;
-            known = fetches
-                    ? new SharePosition(some == edges, true, index, some)
-                    : new SharePosition(false, false, index - some, edges - some);
-            places.put(service, known);
+            int index = rankedEdges(service).indexOf(self);
+            boolean fetches = index < fetching;
+            position = fetches
+                    ? new SharePosition(fetching == edges, true, index, fetching)
+                    : new SharePosition(false, false, index - fetching, edges - fetching);
+            positions.put(service, position);
         }
-        return known;
+        return position;
     }
 
     /**
-     * The home of a key: an address, this edge's own where it is its home or nobody else is up.
+     * The home of a key as an address: this edge's own if it is the home itself or no other edge is up.
      *
-     * @param zoned whether each zone has a home of its own: fewer bytes between zones, more fetches
+     * @param zoned whether each zone has its own home: fewer bytes between zones, more fetches
      */
     public String homeOf(long now, String key, boolean zoned) {
         return homeOf(now, key, zoned, "", Integer.MAX_VALUE);
     }
 
-    /** The same out of the {@code many} edges that fetch a service's objects. */
-    public String homeOf(long now, String key, boolean zoned, String service, int many) {
-        Set<String> some = many >= edgeCount() ? null : fetchers(service, many);
-        long name = Hash.of(key);
+    /** The home of a key among the {@code fetcherCount} edges that fetch a service's objects. */
+    public String homeOf(long now, String key, boolean zoned, String service, int fetcherCount) {
+        Set<String> fetchers = fetcherCount >= edgeCount() ? null : fetchers(service, fetcherCount);
+        long keyHash = Hash.of(key);
         String best = self;
-        long rank = some == null || some.contains(self) ? Hash.rank(name, selfHash) : Long.MIN_VALUE;
-        long passedRank = Long.MIN_VALUE;
+        long rank = fetchers == null || fetchers.contains(self) ? Hash.rank(keyHash, selfHash) : Long.MIN_VALUE;
+        long skippedRank = Long.MIN_VALUE;
         for (Edge edge : edges) {
-            long other = Hash.rank(name, edge.hash);
-            if (other > rank
+            long edgeRank = Hash.rank(keyHash, edge.hash);
+            if (edgeRank > rank
                     && (!zoned || zone.equals(edge.zone))
-                    && (some == null || some.contains(edge.ip))
-                    && !edge.ip.equals(self)) {
-                if (isSkipped(now, edge.ip)) {
-                    passedRank = Math.max(passedRank, other);
+                    && (fetchers == null || fetchers.contains(edge.address))
+                    && !edge.address.equals(self)) {
+                if (isSkipped(now, edge.address)) {
+                    skippedRank = Math.max(skippedRank, edgeRank);
                 } else {
-                    best = edge.ip;
-                    rank = other;
+                    best = edge.address;
+                    rank = edgeRank;
                 }
             }
         }
-        passedOver = passedRank > rank;
-        Away tried = away.get(best);
-        if (tried != null) {
-            tried.until =
-                    now + tried.span; // this one is its trial; all others go on passing it over until it is answered
+        skippedHigherRanked = skippedRank > rank;
+        Skip trial = skips.get(best);
+        if (trial != null) {
+            trial.until = now + trial.skipMicros; // a trial request: all others still skip the edge until it answers
         }
         return best;
     }
 
-    /** Whether one that ranked higher was passed over when a home was last asked for. */
+    /** Whether the last selection skipped an edge with a higher rank. */
     public boolean skippedHigherRanked() {
-        return passedOver;
+        return skippedHigherRanked;
     }
 
-    /** Whether an edge is passed over now. */
+    /** Whether an edge is skipped now. */
     boolean isSkipped(long now, String edge) {
-        Away one = away.get(edge);
-        return one != null && now < one.until;
+        Skip skip = skips.get(edge);
+        return skip != null && now < skip.until;
     }
 
     /**
-     * It did not answer what it was asked at {@code asked}; false, and nothing follows, where it has answered something else since:
-     * it is slow, and not silent.
+     * Records that an edge did not answer a request of {@code requestedAt}. Returns false, without effect, if it has
+     * answered another one since: it is slow, not silent.
      */
-    public boolean recordFailure(long now, String edge, long asked) {
+    public boolean recordFailure(long now, String edge, long requestedAt) {
         Long answered = answeredAt.get(edge);
-        if (answered != null && answered > asked) {
+        if (answered != null && answered > requestedAt) {
             return false;
         }
-        Away one = away.get(edge);
-        if (one == null) {
-            one = new Away();
-            one.until = now + one.span;
-            away.put(edge, one);
-        } else if (now - one.failedAt > one.span / 2) { // not another one of the same silence
-            one.span = Math.min(MAX_SKIP_MICROS, 2 * one.span);
-            one.until = now + one.span;
+        Skip skip = skips.get(edge);
+        if (skip == null) {
+            skip = new Skip();
+            skip.until = now + skip.skipMicros;
+            skips.put(edge, skip);
+        } else if (now - skip.failedAt > skip.skipMicros / 2) { // not a further timeout of the same outage
+            skip.skipMicros = Math.min(MAX_SKIP_MICROS, 2 * skip.skipMicros);
+            skip.until = now + skip.skipMicros;
         }
-        one.failedAt = now;
+        skip.failedAt = now;
         return true;
     }
 
-    /** It did. */
+    /** Records that an edge answered; it is no longer skipped. */
     public void recordAnswer(long now, String edge) {
-        away.remove(edge);
+        skips.remove(edge);
         answeredAt.put(edge, now);
     }
 }
--- a/src/main/java/gorsemast/cache/HotObjectTracker.java
+++ b/src/main/java/gorsemast/cache/HotObjectTracker.java
@@ -4,82 +4,84 @@
 import java.util.Map;
 
 /**
- * How many homes an object has.
+ * Determines how many homes an object has.
  *
- * <p><b>Idea.</b> One home hands an object to every edge that is asked for it once in the object's life. Where edges are many, objects long
- * and links narrow, what all edges take of one popular object fills its home's link by itself, and all that the home sends waits
- * behind it. So an object that is asked for at this edge in each of its lives, as it then is at most edges, has as many homes as keep what
- * it takes of a home's link to {@link #PART_OF_LINK}; each costs one more fetch from the servers a life. Where links are wide, as where
- * objects are short, one is enough.
+ * <p>One home sends an object to every edge whose clients request it, once in the object's lifetime. With many edges,
+ * large objects and narrow links, the traffic for one popular object alone fills its home's link and delays
+ * everything else that the home sends. So an object that is requested at this edge in each of its lifetimes, and then
+ * probably at most edges, has as many homes as keep its traffic to {@link #MAX_LINK_RATIO} of a home's link. Each
+ * home costs one more fetch from the servers per lifetime. One home is enough where links are wide or objects small.
  *
- * <p><b>Could hurt</b> where an object is popular at few edges only: it is fetched more often than it need be. O(1) a call; the objects
- * asked for last are remembered. No clock, no I/O; one thread; times in microseconds.
+ * <p>An object that is popular at few edges only is fetched more often than needed. Remembers the most recently
+ * requested objects; O(1) per call. No clock, no I/O; not thread-safe; times are in microseconds.
  */
 final class HotObjectTracker {
-    private static final double PART_OF_LINK = 0.125;
-    private static final int MOST_HOMES = 8;
-    /** A home for fewer edges than this spares nothing. */
-    private static final int LEAST_EDGES = 4;
+    private static final double MAX_LINK_RATIO = 0.125;
+    private static final int MAX_HOMES = 8;
+    /** Splitting off a home for fewer edges than this saves nothing. */
+    private static final int MIN_EDGES_PER_HOME = 4;
 
-    private static final int MOST_OBJECTS = 2_048;
-    private static final double MICROS = 1e6;
+    private static final int MAX_TRACKED_OBJECTS = 2_048;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    private static final class Interest {
-        private long lifeBegan;
-        /** Requests of clients here in this life, and in the one before. */
-        private int now;
+    private static final class ObjectDemand {
+        private long lifetimeStart;
+        /** Client requests in the current lifetime and in the one before. */
+        private int currentRequests;
 
-        private int before;
+        private int previousRequests;
         private int bytes;
     }
 
-    private final double linkBytes;
-    private final Map<String, Interest> interests = new LinkedHashMap<>(16, 0.75f, true) {
+    private final double linkBytesPerSecond;
+    private final Map<String, ObjectDemand> demands = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Interest> eldest) {
-            return size() > MOST_OBJECTS;
+        protected boolean removeEldestEntry(Map.Entry<String, ObjectDemand> eldest) {
+            return size() > MAX_TRACKED_OBJECTS;
         }
     };
 
-    /** @param linkBytes that an edge's link carries a second; infinite where that is no bound */
-    HotObjectTracker(double linkBytes) {
-        this.linkBytes = linkBytes;
+    /**
+     * @param linkBytesPerSecond capacity of an edge's link; infinite if it is not a limit
+     */
+    HotObjectTracker(double linkBytesPerSecond) {
+        this.linkBytesPerSecond = linkBytesPerSecond;
     }
 
-    /** A client has asked for an object that lives so long. */
-    void recordRequest(long now, String key, long lifeMicros) {
-        if (Double.isInfinite(linkBytes)) {
+    /** Records a client's request for an object with this lifetime. */
+    void recordRequest(long now, String key, long lifetimeMicros) {
+        if (Double.isInfinite(linkBytesPerSecond)) {
             return;
         }
-        Interest interest = interests.computeIfAbsent(key, name -> new Interest());
-        long age = now - interest.lifeBegan;
-        if (age >= lifeMicros) {
-            interest.before = age < 2 * lifeMicros ? interest.now : 0;
-            interest.now = 0;
-            interest.lifeBegan = now;
+        ObjectDemand demand = demands.computeIfAbsent(key, name -> new ObjectDemand());
+        long age = now - demand.lifetimeStart;
+        if (age >= lifetimeMicros) {
+            demand.previousRequests = age < 2 * lifetimeMicros ? demand.currentRequests : 0;
+            demand.currentRequests = 0;
+            demand.lifetimeStart = now;
         }
-        interest.now++;
+        demand.currentRequests++;
     }
 
-    /** A copy of it has so many bytes. */
+    /** Records the size of an object's response. */
     void recordSize(String key, int bytes) {
-        Interest interest = interests.get(key);
-        if (interest != null) {
-            interest.bytes = bytes;
+        ObjectDemand demand = demands.get(key);
+        if (demand != null) {
+            demand.bytes = bytes;
         }
     }
 
-    /** How many homes an object has that lives so long, among so many edges. */
-    int homeCount(String key, long lifeMicros, int edges) {
-        Interest interest = interests.get(key);
-        boolean hot = interest != null && (interest.before > 0 || interest.now > 1);
-        if (!hot || lifeMicros <= 0) {
+    /** How many homes an object with this lifetime has among {@code edges} edges. */
+    int homeCount(String key, long lifetimeMicros, int edges) {
+        ObjectDemand demand = demands.get(key);
+        boolean hot = demand != null && (demand.previousRequests > 0 || demand.currentRequests > 1);
+        if (!hot || lifetimeMicros <= 0) {
             return 1;
         }
-        double taken = edges * (double) interest.bytes * MICROS / lifeMicros;
-        double most = Math.max(1, Math.min(MOST_HOMES, (double) edges / LEAST_EDGES));
-        return (int) Math.max(1, Math.min(most, Math.ceil(taken / (PART_OF_LINK * linkBytes))));
+        double bytesPerSecond = edges * (double) demand.bytes * MICROS_PER_SECOND / lifetimeMicros;
+        double maxHomes = Math.max(1, Math.min(MAX_HOMES, (double) edges / MIN_EDGES_PER_HOME));
+        return (int) Math.max(1, Math.min(maxHomes, Math.ceil(bytesPerSecond / (MAX_LINK_RATIO * linkBytesPerSecond))));
     }
 }
--- a/src/main/java/gorsemast/cache/ObjectRequest.java
+++ b/src/main/java/gorsemast/cache/ObjectRequest.java
@@ -3,18 +3,18 @@
 import gorsemast.configuration.Route;
 
 /**
- * An object that is asked for.
+ * An object that is requested.
  *
  * @param host in lower case
- * @param uri with its query
+ * @param uri including the query
  */
 public record ObjectRequest(Route route, String host, String uri) {
-    /** What it is held under. */
+    /** The key under which its response is cached. */
     public String key() {
         return ResponseCache.key(host, uri);
     }
 
-    /** The service whose objects it is one of. */
+    /** The service that the object belongs to. */
     String service() {
         return route.services().get(0).service();
     }
--- a/src/main/java/gorsemast/cache/ObjectSources.java
+++ b/src/main/java/gorsemast/cache/ObjectSources.java
@@ -1,24 +1,24 @@
 package gorsemast.cache;
 
 /**
- * What carries the requests of {@link FetchCoordinator} out. One thread; times in microseconds.
+ * Carries out the requests of {@link FetchCoordinator}. Not thread-safe; times are in microseconds.
  *
- * @param <A> an answer that is no copy
+ * @param <A> an answer that can't be cached
  */
 public interface ObjectSources<A> {
-    /** Asks another edge. */
-    void requestFromEdge(HomeRequest question, HomeResponseListener<A> ending);
+    /** Sends a request to another edge. */
+    void requestFromEdge(HomeRequest request, HomeResponseListener<A> listener);
 
-    /** Asks a service's servers; false where there is no such service yet. */
+    /** Sends a request to a service's servers; false if the service is not known yet. */
     boolean requestFromServers(
-            String service, ObjectRequest what, long asked, long giveUp, ServerResponseListener<A> ending);
+            String service, ObjectRequest object, long requestedAt, long deadline, ServerResponseListener<A> listener);
 
-    /** What a service's servers bear from all edges, a second. */
+    /** How many requests per second a service's servers accept from all edges. */
     double serverRatePerSecond(String service);
 
-    /** Runs a task later, on the same thread. */
+    /** Runs a task later on the same thread. */
     void schedule(long micros, Runnable task);
 
-    /** How many edges fetch its objects; as many as there are, or more, for all. */
+    /** How many edges fetch the service's objects; the number of edges or more if all do. */
     int fetcherCount(String service);
 }
--- a/src/main/java/gorsemast/cache/ObjectWaiter.java
+++ b/src/main/java/gorsemast/cache/ObjectWaiter.java
@@ -1,26 +1,32 @@
 package gorsemast.cache;
 
 /**
- * Who waits for an object; one of these is called, once.
+ * Receives the outcome of a request for an object; exactly one method is called, once.
  *
- * @param <A> an answer that is no copy
+ * @param <A> an answer that can't be cached
  */
 public interface ObjectWaiter<A> {
-    /** It is here; {@code once} where it may be told to whoever asked by now but not be held. */
-    void onResponse(CachedResponse copy, boolean once);
+    /**
+     * The response is available; {@code onceOnly} if it may be delivered to those already waiting but must not be
+     * cached.
+     */
+    void onResponse(CachedResponse response, boolean onceOnly);
 
-    /** An answer that is no copy: passed on as it is; only lent. */
+    /** An answer that can't be cached and is passed on unchanged; the receiver does not own it. */
     void onUncacheable(A answer);
 
-    /** It can't be had now: come back then. */
+    /** The object is not available now: retry after this time. */
     void onRefused(long retryAfterMicros);
 
-    /** It can't be had, and nothing is known of when it can. */
+    /** The object is not available, and it is unknown when it will be. */
     void onFailed();
 
-    /** It is too long to be held, and has to be asked for without a copy. */
+    /** The object is too long to be cached and has to be requested directly. */
     void onTooLong();
 
-    /** The time of the edge that asks is nearly over, and it is still being fetched: ask again. Clients are never told. */
+    /**
+     * The requesting edge's time is nearly over and the object is still being fetched: request it again. Never called
+     * for clients.
+     */
     void onStillFetching();
 }
--- a/src/main/java/gorsemast/cache/OriginPermits.java
+++ b/src/main/java/gorsemast/cache/OriginPermits.java
@@ -7,144 +7,155 @@
 import java.util.function.ToIntFunction;
 
 /**
- * This edge's rights to send requests to services whose servers bear only so many a second from all edges.
+ * This edge's permits to send requests to services whose servers accept only so many per second from all edges.
  *
- * <p><b>Idea.</b> What servers bear within a window is a whole number of rights, and these are dealt out to the edges by their
- * rank, so that the parts sum up to exactly that number: rounding neither loses rights nor makes any. Where only some edges
- * fetch a service's objects these have most of it, and the others the rest, for when one of them fails. A right that was taken
- * for a request which then was not sent is given back. When edges are lost the others' parts grow only after a window: until then
- * what the lost ones have spent still counts at the servers.
+ * <p>The rate allows a whole number of permits per window, divided among the edges by rank so that the shares add up
+ * to exactly that number: rounding neither loses nor creates permits. Where only some edges fetch a service's
+ * objects, they get most of the permits and the other edges the rest, for when a fetcher fails. A permit whose
+ * request was not sent is released. When edges are lost, the shares of the others grow only after a window: until
+ * then the servers still count what the lost edges have sent.
  *
- * <p><b>Could hurt</b> where edges disagree on who is there: parts then sum up to a little more or less. O(edges log edges) when
- * edges change, else O(1). One thread; times in microseconds.
+ * <p>Edges that disagree on which edges are up have shares that add up to a little more or less. O(edges log edges)
+ * when the edges change, else O(1). Not thread-safe; times are in microseconds.
  */
 public final class OriginPermits {
-    /** Of what servers bear, so much is sent: the rest is for what is seen otherwise at the servers than here. */
-    private static final double SPENT = 0.95;
-    /** Where nearly no edge fetches for all, the others have so much of what is sent; the more fetch, the less the others need. */
-    private static final double OTHERS_PART = 0.12;
+    /**
+     * Part of the servers' rate that is used; the rest allows for differences between what servers and edges count.
+     */
+    private static final double USED_RATIO = 0.95;
+    /**
+     * Part of the permits left to the edges that do not fetch if there are hardly any fetchers; it shrinks as the
+     * fetchers become more.
+     */
+    private static final double NON_FETCHER_RATIO = 0.12;
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
     private final LongSupplier clock;
     private final HomeSelector homes;
-    private final ToDoubleFunction<String> perSecond;
-    private final ToIntFunction<String> fetchers;
-    private final long window;
-    private final long begun;
-    private final Map<String, SlidingWindowLimiter> ceilings = new HashMap<>();
-    private final Map<String, SlowGrowingShare> parts = new HashMap<>();
-    private int open;
-
-    /** One right that has been taken; it is settled once. */
+    private final ToDoubleFunction<String> serverRatePerSecond;
+    private final ToIntFunction<String> fetcherCount;
+    private final long windowMicros;
+    private final long startedAt;
+    private final Map<String, SlidingWindowLimiter> limiters = new HashMap<>();
+    private final Map<String, SlowGrowingShare> shares = new HashMap<>();
+    private int outstanding;
+
+    /** A permit that has been taken; it is settled once, by being used or released. */
     public final class Permit {
-        /** Null where the servers have no bound. */
-        private final SlidingWindowLimiter ceiling;
+        /** Null if the servers' rate is unlimited. */
+        private final SlidingWindowLimiter limiter;
 
         private final long step;
         private boolean settled;
 
-        private Permit(SlidingWindowLimiter ceiling, long step) {
-            this.ceiling = ceiling;
+        private Permit(SlidingWindowLimiter limiter, long step) {
+            this.limiter = limiter;
             this.step = step;
-            open++;
+            outstanding++;
         }
 
-        /** A server may have got what it was taken for. */
+        /** Settles the permit: a server may have received its request. */
         public void markUsed() {
             settle();
         }
 
-        /** Nothing was sent for it. */
+        /** Settles the permit: nothing was sent. */
         public void release() {
-            if (settle() && ceiling != null) {
-                ceiling.release(step);
+            if (settle() && limiter != null) {
+                limiter.release(step);
             }
         }
 
         private boolean settle() {
             boolean first = !settled;
             settled = true;
-            open -= first ? 1 : 0;
+            outstanding -= first ? 1 : 0;
             return first;
         }
     }
 
     /**
-     * Of one edge.
+     * Creates the permits of one edge.
      *
-     * @param window what the servers' rate is counted over
-     * @param perSecond what a service's servers bear from all edges; infinite where they have no bound
-     * @param fetchers how many edges fetch a service's objects
+     * @param windowMicros over which the servers' rate is counted
+     * @param serverRatePerSecond requests that a service's servers accept from all edges; infinite if unlimited
+     * @param fetcherCount how many edges fetch a service's objects
      */
     public OriginPermits(
             LongSupplier clock,
             HomeSelector homes,
-            long window,
-            ToDoubleFunction<String> perSecond,
-            ToIntFunction<String> fetchers) {
+            long windowMicros,
+            ToDoubleFunction<String> serverRatePerSecond,
+            ToIntFunction<String> fetcherCount) {
         this.clock = clock;
         this.homes = homes;
-        this.window = window;
-        this.begun = clock.getAsLong();
-        this.perSecond = perSecond;
-        this.fetchers = fetchers;
+        this.windowMicros = windowMicros;
+        this.startedAt = clock.getAsLong();
+        this.serverRatePerSecond = serverRatePerSecond;
+        this.fetcherCount = fetcherCount;
     }
 
-    /** What all edges together may send in one window to servers that bear so many a second. */
-    static double permitsPerWindow(double perSecond, long window) {
-        return SPENT * perSecond * window / MICROS;
+    /** How many requests all edges together may send in one window to servers that accept this rate. */
+    static double permitsPerWindow(double ratePerSecond, long windowMicros) {
+        return USED_RATIO * ratePerSecond * windowMicros / MICROS_PER_SECOND;
     }
 
-    /** How many of {@code permitsPerWindow} rights the one with this index has, out of {@code count} that share them: they sum up to all. */
-    static long shareOf(long whole, int index, int count) {
-        return whole * (index + 1) / count - whole * index / count;
+    /**
+     * How many of {@code total} permits the edge at {@code index} gets out of {@code count} edges; the shares add up
+     * to the total.
+     */
+    static long shareOf(long total, int index, int count) {
+        return total * (index + 1) / count - total * index / count;
     }
 
-    /** This edge's rights in one window; more than before only once that has held for a window. */
+    /** This edge's permits per window; an increase takes effect after it has lasted for a window. */
     long permitShare(String service) {
-        return parts.computeIfAbsent(service, name -> new SlowGrowingShare(window))
-                .update(clock.getAsLong(), partByRank(service));
+        return shares.computeIfAbsent(service, name -> new SlowGrowingShare(windowMicros))
+                .update(clock.getAsLong(), shareByRank(service));
     }
 
-    private long partByRank(String service) {
-        long whole = Math.max(1, (long) permitsPerWindow(perSecond.applyAsDouble(service), window));
-        HomeSelector.SharePosition place = homes.sharePosition(service, fetchers.applyAsInt(service));
-        if (place.allFetch()) {
-            return shareOf(whole, place.index(), place.count());
+    private long shareByRank(String service) {
+        long total = Math.max(1, (long) permitsPerWindow(serverRatePerSecond.applyAsDouble(service), windowMicros));
+        HomeSelector.SharePosition position = homes.sharePosition(service, fetcherCount.applyAsInt(service));
+        if (position.allFetch()) {
+            return shareOf(total, position.index(), position.count());
         }
-        double others = OTHERS_PART
-                * (place.isFetcher() ? homes.edgeCount() - place.count() : place.count())
+        double nonFetcherRatio = NON_FETCHER_RATIO
+                * (position.isFetcher() ? homes.edgeCount() - position.count() : position.count())
                 / homes.edgeCount();
-        long ofFetchers = Math.max(1, (long) ((1 - others) * whole));
-        return shareOf(place.isFetcher() ? ofFetchers : whole - ofFetchers, place.index(), place.count());
+        long fetcherPermits = Math.max(1, (long) ((1 - nonFetcherRatio) * total));
+        return shareOf(
+                position.isFetcher() ? fetcherPermits : total - fetcherPermits, position.index(), position.count());
     }
 
-    private SlidingWindowLimiter ceiling(String service) {
-        return ceilings.computeIfAbsent(service, name -> new SlidingWindowLimiter(window, begun));
+    private SlidingWindowLimiter limiterFor(String service) {
+        return limiters.computeIfAbsent(service, name -> new SlidingWindowLimiter(windowMicros, startedAt));
     }
 
     /**
-     * Takes a right to send one request now; null where there is none.
+     * Takes a permit to send one request now; null if none is available.
      *
-     * @param ahead whether nobody waits for what is asked for
+     * @param prefetch whether nobody waits for the response
      */
-    public Permit tryAcquire(String service, boolean ahead) {
-        if (Double.isInfinite(perSecond.applyAsDouble(service))) {
+    public Permit tryAcquire(String service, boolean prefetch) {
+        if (Double.isInfinite(serverRatePerSecond.applyAsDouble(service))) {
             return new Permit(null, 0);
         }
-        SlidingWindowLimiter ceiling = ceiling(service);
+        SlidingWindowLimiter limiter = limiterFor(service);
         long now = clock.getAsLong();
-        return ceiling.tryAcquire(now, permitShare(service), ahead) ? new Permit(ceiling, ceiling.stepOf(now)) : null;
+        return limiter.tryAcquire(now, permitShare(service), prefetch)
+                ? new Permit(limiter, limiter.stepOf(now))
+                : null;
     }
 
-    /** How many are taken and neither used nor given back yet. */
+    /** Number of permits that are neither used nor released yet. */
     public int outstanding() {
-        return open;
+        return outstanding;
     }
 
-    /** How long until there will be a right again, if no other is taken. */
+    /** How long until a permit is available, if no other is taken. */
     public long microsUntilAvailable(String service) {
-        return ceiling(service).microsUntilAvailable(clock.getAsLong(), permitShare(service));
+        return limiterFor(service).microsUntilAvailable(clock.getAsLong(), permitShare(service));
     }
 }
--- a/src/main/java/gorsemast/cache/ResponseCache.java
+++ b/src/main/java/gorsemast/cache/ResponseCache.java
@@ -7,59 +7,59 @@
 import java.util.Map;
 
 /**
- * The copies that one edge holds, and what has been purged of late.
+ * The cached responses of one edge and its recent purges.
  *
- * <p><b>Idea.</b> Least recently used first out, under one bound of bytes. A purge takes away what is held; and as an
- * answer may be on its way that was asked for before the purge, each purge gets a number, and what was asked for under a
- * lower one is held against all purges since ({@link #purgedSince}) before it is put here.
+ * <p>The least recently used entries are evicted when the total size exceeds the limit. A purge removes matching
+ * entries. As a response that was requested before a purge may arrive after it, purges are numbered: a response
+ * requested under a lower number is checked against all later purges ({@link #purgedSince}) before it is cached.
  *
- * <p><b>Bounds.</b> {@code most} bytes, {@link #PURGES} purges. O(1) but for purges and {@link #removeExpired}, which look at
- * all that is held. One thread; times in microseconds.
+ * <p>Holds up to {@code maxBytes} bytes and {@link #MAX_REMEMBERED_PURGES} purges. Operations are O(1), except for
+ * purges and {@link #removeExpired}, which scan all entries. Not thread-safe; times are in microseconds.
  */
 public final class ResponseCache {
-    private static final int PURGES = 4_096;
-    /** A copy of more than this part of all room is not held. */
-    private static final int LARGEST_PART = 8;
+    private static final int MAX_REMEMBERED_PURGES = 4_096;
+    /** A response larger than {@code maxBytes} divided by this is not cached. */
+    private static final int MAX_ENTRY_DIVISOR = 8;
 
-    private record Numbered(long number, PurgeRequest purge) {}
+    private record NumberedPurge(long number, PurgeRequest purge) {}
 
-    private final LinkedHashMap<String, CachedResponse> copies = new LinkedHashMap<>(16, 0.75f, true);
-    private final ArrayDeque<Numbered> purges = new ArrayDeque<>();
-    private final long most;
+    private final LinkedHashMap<String, CachedResponse> entries = new LinkedHashMap<>(16, 0.75f, true);
+    private final ArrayDeque<NumberedPurge> recentPurges = new ArrayDeque<>();
+    private final long maxBytes;
     private long bytes;
-    private long number;
+    private long lastPurgeNumber;
 
-    /** With room for so many bytes. */
-    public ResponseCache(long most) {
-        this.most = most;
+    /** Creates a cache with this size limit. */
+    public ResponseCache(long maxBytes) {
+        this.maxBytes = maxBytes;
     }
 
-    /** The key of an object. */
+    /** The cache key of an object. */
     public static String key(String host, String uri) {
         return host + ' ' + uri;
     }
 
-    /** A copy that may be served now; null for none. */
+    /** The cached response if it may be served now, else null. */
     public CachedResponse getFresh(long now, String key, long routeTtl) {
-        CachedResponse copy = copies.get(key);
-        return copy != null && copy.isFresh(now, routeTtl) ? copy : null;
+        CachedResponse response = entries.get(key);
+        return response != null && response.isFresh(now, routeTtl) ? response : null;
     }
 
-    /** A copy whether it may be served or not; null for none. */
+    /** The cached response whether or not it may be served; null if there is none. */
     public CachedResponse peek(String key) {
-        return copies.get(key);
+        return entries.get(key);
     }
 
-    /** Holds a copy from now on; returns how many others gave way to it. */
-    public int put(String key, CachedResponse copy) {
-        if (copy.weightBytes() > most / LARGEST_PART) {
+    /** Caches a response; returns how many others were evicted. */
+    public int put(String key, CachedResponse response) {
+        if (response.weightBytes() > maxBytes / MAX_ENTRY_DIVISOR) {
             return 0;
         }
-        CachedResponse before = copies.put(key, copy);
-        bytes += copy.weightBytes() - (before == null ? 0 : before.weightBytes());
-        Iterator<CachedResponse> eldest = copies.values().iterator();
+        CachedResponse replaced = entries.put(key, response);
+        bytes += response.weightBytes() - (replaced == null ? 0 : replaced.weightBytes());
+        Iterator<CachedResponse> eldest = entries.values().iterator();
         int evicted = 0;
-        while (bytes > most && eldest.hasNext()) {
+        while (bytes > maxBytes && eldest.hasNext()) {
             bytes -= eldest.next().weightBytes();
             eldest.remove();
             evicted++;
@@ -67,18 +67,18 @@
         return evicted;
     }
 
-    /** The number of the last purge: what is asked for now has it. */
+    /** The number of the last purge; a fetch that starts now remembers it. */
     public long lastPurgeNumber() {
-        return number;
+        return lastPurgeNumber;
     }
 
-    /** Takes away what a purge names. */
+    /** Applies a purge: removes all entries that it matches. */
     public void purge(PurgeRequest purge) {
-        purges.add(new Numbered(++number, purge));
-        if (purges.size() > PURGES) {
-            purges.poll();
+        recentPurges.add(new NumberedPurge(++lastPurgeNumber, purge));
+        if (recentPurges.size() > MAX_REMEMBERED_PURGES) {
+            recentPurges.poll();
         }
-        Iterator<Map.Entry<String, CachedResponse>> all = copies.entrySet().iterator();
+        Iterator<Map.Entry<String, CachedResponse>> all = entries.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<String, CachedResponse> entry = all.next();
             if (matches(purge, entry.getKey(), entry.getValue())) {
@@ -88,12 +88,12 @@
         }
     }
 
-    /** Whether a purge names an object, by its path without the query or by a tag of the copy. */
-    public static boolean matches(PurgeRequest purge, String key, CachedResponse copy) {
-        return purge.tag().isEmpty() ? matchesPath(purge, key) : copy.tags().contains(purge.tag());
+    /** Whether a purge matches a response, by its path without the query or by one of its tags. */
+    public static boolean matches(PurgeRequest purge, String key, CachedResponse response) {
+        return purge.tag().isEmpty() ? matchesPath(purge, key) : response.tags().contains(purge.tag());
     }
 
-    /** Whether it names it by its path. */
+    /** Whether a purge by path matches a key. */
     public static boolean matchesPath(PurgeRequest purge, String key) {
         if (!purge.tag().isEmpty()) {
             return false;
@@ -107,40 +107,40 @@
                         || key.charAt(path + purge.path().length()) == '?');
     }
 
-    /** Whether this copy, asked for under {@code since}, is named by a later purge, or may be. */
-    public boolean purgedSince(long since, String key, CachedResponse copy) {
-        if (since < number - PURGES) {
+    /** Whether a purge after number {@code since} matches this response, or may match it. */
+    public boolean purgedSince(long since, String key, CachedResponse response) {
+        if (since < lastPurgeNumber - MAX_REMEMBERED_PURGES) {
             return true;
         }
-        Iterator<Numbered> latest = purges.descendingIterator();
+        Iterator<NumberedPurge> latest = recentPurges.descendingIterator();
         while (latest.hasNext()) {
-            Numbered one = latest.next();
-            if (one.number <= since) {
+            NumberedPurge latestPurge = latest.next();
+            if (latestPurge.number <= since) {
                 return false;
             }
-            if (matches(one.purge, key, copy)) {
+            if (matches(latestPurge.purge, key, response)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Lets go of what may not be served any more. */
+    /** Removes the entries that may no longer be served. */
     public void removeExpired(long now) {
-        copies.values().removeIf(copy -> {
-            boolean over = !copy.isFresh(now, Long.MAX_VALUE);
-            bytes -= over ? copy.weightBytes() : 0;
+        entries.values().removeIf(response -> {
+            boolean over = !response.isFresh(now, Long.MAX_VALUE);
+            bytes -= over ? response.weightBytes() : 0;
             return over;
         });
     }
 
-    /** Bytes held. */
+    /** Total size of the entries in bytes. */
     public long bytes() {
         return bytes;
     }
 
-    /** Copies held. */
+    /** Number of entries. */
     public int size() {
-        return copies.size();
+        return entries.size();
     }
 }
--- a/src/main/java/gorsemast/cache/ServerResponseListener.java
+++ b/src/main/java/gorsemast/cache/ServerResponseListener.java
@@ -1,26 +1,26 @@
 package gorsemast.cache;
 
 /**
- * How a request to servers ended; one of these is called, once.
+ * Receives the outcome of a request to servers; exactly one method is called, once.
  *
- * @param <A> an answer that is no copy
+ * @param <A> an answer that can't be cached
  */
 public interface ServerResponseListener<A> {
-    /** A server's whole answer. */
-    void copy(CachedResponse copy);
+    /** A complete response of a server. */
+    void onResponse(CachedResponse response);
 
-    /** An answer that is no copy; only lent. */
+    /** An answer that can't be cached; the receiver does not own it. */
     void onUncacheable(A answer);
 
-    /** Something was sent, and was turned away. */
+    /** A request was sent and was refused. */
     void onRefused(long retryAfterMicros);
 
-    /** Refused or failed before anything was sent. */
+    /** The request was refused or failed before anything was sent. */
     void onNotSent(long retryAfterMicros);
 
-    /** Something was sent, and nothing came of it. */
+    /** A request was sent but brought no usable answer. */
     void onFailed();
 
-    /** A server's answer is too long to be held. */
+    /** The server's response is too long to be cached. */
     void onTooLong();
 }
--- a/src/main/java/gorsemast/cache/SlidingWindowLimiter.java
+++ b/src/main/java/gorsemast/cache/SlidingWindowLimiter.java
@@ -1,39 +1,41 @@
 package gorsemast.cache;
 
 /**
- * How many requests one edge may send to the servers of a service that bear only so many a second from all edges.
+ * Limits how many requests one edge sends to a service's servers, which accept only so many per second from all
+ * edges.
  *
- * <p><b>Idea.</b> Each edge has a part of what the rule allows within its window, counted over the last window in steps: sums
- * over any window stay below, without a word between edges. What is asked for ahead of need has only half of it. A process
- * that starts does not know what its machine's last life has spent, so it counts as if its part had been spent evenly before;
- * and no step may take more than {@link #STEP_PART}, so that the last life can't have spent it all just before it ended. So a
- * herd of edges that is killed and comes back stays within the window too.
+ * <p>Each edge has a share of the requests allowed per window and counts what it sent over the last window in steps,
+ * so that the total over any window stays within the limit without communication between edges. Requests ahead of
+ * need may use only half of the share. A process that starts does not know what the previous process on its machine
+ * has sent, so it counts as if its share had been spent evenly before; and no step may take more than {@link
+ * #MAX_STEP_RATIO}, so that the previous process can't have spent the whole share just before it ended. Thus many
+ * edges that are killed and restarted together stay within the window too.
  *
- * <p><b>Could hurt</b> where few edges get most of the traffic: they refuse while others leave their part unused. What is given back is taken
- * out of the step in which it was taken. O(1); one
- * thread; times in microseconds.
+ * <p>Where few edges receive most of the traffic, they refuse requests while other edges leave their share unused. A
+ * released permit is taken out of the step in which it was taken. Operations are O(1). Not thread-safe; times are in
+ * microseconds.
  */
 public final class SlidingWindowLimiter {
     private static final int STEPS = 10;
-    private static final double AHEAD = 0.5;
-    /** Of the window's part, so much may go out in one step: once and a half of an even one. */
-    private static final double STEP_PART = 0.15;
+    private static final double PREFETCH_RATIO = 0.5;
+    /** Largest part of the window's share that one step may send: one and a half times an even one. */
+    private static final double MAX_STEP_RATIO = 0.15;
 
     private final long stepMicros;
     private final long windowMicros;
-    private final long begunStep;
+    private final long startStep;
     private final double[] counts = new double[STEPS + 1];
     private long step = Long.MIN_VALUE;
 
-    /** Over windows of this length, in a process that began then. */
-    public SlidingWindowLimiter(long windowMicros, long begun) {
+    /** Creates a limiter over windows of this length, in a process that started at {@code startedAt}. */
+    public SlidingWindowLimiter(long windowMicros, long startedAt) {
         this.windowMicros = windowMicros;
         this.stepMicros = Math.max(1, windowMicros / STEPS);
-        this.begunStep = Math.floorDiv(begun, stepMicros);
+        this.startStep = Math.floorDiv(startedAt, stepMicros);
     }
 
-    private int place(long s) {
-        return (int) Math.floorMod(s, (long) counts.length);
+    private int slot(long stepIndex) {
+        return (int) Math.floorMod(stepIndex, (long) counts.length);
     }
 
     /** The step that a time falls into. */
@@ -41,17 +43,17 @@
         return Math.floorDiv(now, stepMicros);
     }
 
-    private void move(long now, double most) {
+    private void advance(long now, double limit) {
         long at = stepOf(now);
         if (step == Long.MIN_VALUE) {
-            for (long s = at - STEPS; s < at; s++) {
-                counts[place(s)] = s < begunStep && most > 1 ? most / STEPS : 0;
+            for (long stepIndex = at - STEPS; stepIndex < at; stepIndex++) {
+                counts[slot(stepIndex)] = stepIndex < startStep && limit > 1 ? limit / STEPS : 0;
             }
             step = at;
             return;
         }
-        for (long s = Math.max(step + 1, at - STEPS); s <= at; s++) {
-            counts[place(s)] = 0;
+        for (long stepIndex = Math.max(step + 1, at - STEPS); stepIndex <= at; stepIndex++) {
+            counts[slot(stepIndex)] = 0;
         }
         step = Math.max(step, at);
     }
@@ -65,39 +67,39 @@
     }
 
     /**
-     * Whether one more may go out; it is counted if so.
+     * Counts one more request if it may be sent now; else returns false.
      *
-     * @param most what this edge may send in one window
-     * @param ahead whether nobody waits for it
+     * @param limit how many requests this edge may send in one window
+     * @param prefetch whether nobody waits for the response
      */
-    public boolean tryAcquire(long now, double most, boolean ahead) {
-        move(now, most);
-        boolean full = sum() + 1 > (ahead ? Math.min(most, Math.max(1, most * AHEAD)) : most);
-        if (full || counts[place(step)] + 1 > Math.max(1, STEP_PART * most)) {
+    public boolean tryAcquire(long now, double limit, boolean prefetch) {
+        advance(now, limit);
+        boolean full = sum() + 1 > (prefetch ? Math.min(limit, Math.max(1, limit * PREFETCH_RATIO)) : limit);
+        if (full || counts[slot(step)] + 1 > Math.max(1, MAX_STEP_RATIO * limit)) {
             return false;
         }
-        counts[place(step)]++;
+        counts[slot(step)]++;
         return true;
     }
 
-    /** What was taken in that step was not used. */
-    public void release(long taken) {
-        if (taken > step - counts.length && counts[place(taken)] >= 1) {
-            counts[place(taken)]--;
+    /** Returns a permit that was taken in this step and not used. */
+    public void release(long takenStep) {
+        if (takenStep > step - counts.length && counts[slot(takenStep)] >= 1) {
+            counts[slot(takenStep)]--;
         }
     }
 
-    /** How long until there is room for one more of so many in a window, if nothing else goes out. */
-    public long microsUntilAvailable(long now, double most) {
-        move(now, most);
-        if (most < 1) {
+    /** How long until one more request is allowed within {@code limit} per window, if nothing else is sent. */
+    public long microsUntilAvailable(long now, double limit) {
+        advance(now, limit);
+        if (limit < 1) {
             return windowMicros;
         }
         double sum = sum();
         long wait = stepMicros - Math.floorMod(now, stepMicros);
-        for (long s = step - STEPS; s < step; s++) {
-            sum -= counts[place(s)];
-            if (sum + 1 <= most) {
+        for (long stepIndex = step - STEPS; stepIndex < step; stepIndex++) {
+            sum -= counts[slot(stepIndex)];
+            if (sum + 1 <= limit) {
                 return wait;
             }
             wait += stepMicros;
--- a/src/main/java/gorsemast/cache/SlowGrowingShare.java
+++ b/src/main/java/gorsemast/cache/SlowGrowingShare.java
@@ -1,38 +1,40 @@
 package gorsemast.cache;
 
 /**
- * A part of a bound over all edges: it shrinks at once and grows late, to the least that it was entitled to over a whole span. So the
- * parts of those who are there and what was spent lately by those who are gone never sum up to more than the bound. O(1); one
- * thread; times in microseconds.
+ * A share of a limit that applies to all edges together. It shrinks at once and grows only after a full window, to
+ * the lowest entitlement of that window. So the shares of the current edges and what departed edges have sent
+ * recently never add up to more than the limit. O(1); not thread-safe; times are in microseconds.
  */
 final class SlowGrowingShare {
     private static final long NEVER = Long.MIN_VALUE;
 
-    private final long span;
-    private long part = Long.MAX_VALUE;
-    private long grows;
-    private long since = NEVER;
+    private final long windowMicros;
+    private long share = Long.MAX_VALUE;
+    private long pendingShare;
+    private long growingSince = NEVER;
 
-    /** @param span over which spending counts */
-    SlowGrowingShare(long span) {
-        this.span = span;
+    /**
+     * @param windowMicros over which requests are counted
+     */
+    SlowGrowingShare(long windowMicros) {
+        this.windowMicros = windowMicros;
     }
 
-    /** The part now, of one that is entitled to so much by who is there now. */
+    /** Returns the current share for an edge that is entitled to {@code entitled} among the edges that are up now. */
     long update(long now, long entitled) {
-        if (entitled <= part) {
-            part = entitled;
-            since = NEVER;
-        } else if (since == NEVER) {
-            since = now;
-            grows = entitled;
+        if (entitled <= share) {
+            share = entitled;
+            growingSince = NEVER;
+        } else if (growingSince == NEVER) {
+            growingSince = now;
+            pendingShare = entitled;
         } else {
-            grows = Math.min(grows, entitled);
-            if (now - since >= span) {
-                part = grows;
-                since = NEVER;
+            pendingShare = Math.min(pendingShare, entitled);
+            if (now - growingSince >= windowMicros) {
+                share = pendingShare;
+                growingSince = NEVER;
             }
         }
-        return part;
+        return share;
     }
 }
--- a/src/main/java/gorsemast/cache/package-info.java
+++ b/src/main/java/gorsemast/cache/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Content: copies of what may be held, how long each may be served, what purges take away, and which edge is an object's
- * home. No I/O, no clock, no threads.
+ * Caching of objects: which responses may be cached and for how long, what purges remove, and which edge is an
+ * object's home. No I/O, clock or threads.
  */
 package gorsemast.cache;
--- a/src/main/java/gorsemast/dispatch/Call.java
+++ b/src/main/java/gorsemast/dispatch/Call.java
@@ -6,15 +6,15 @@
 import io.netty.handler.codec.http.HttpMethod;
 
 /**
- * A request for a service, read whole.
+ * A complete request to a service.
  *
  * @param headers as the client sent them
- * @param attemptId of this try
- * @param body one reference, the taker's
- * @param key the object it is about, which the module's table is of; null for none
- * @param arrivedAt and {@code deadline} in the loop's microseconds
- * @param bufferLimit so many bytes of its answer are kept whole; a longer one is passed on as it comes
- * @param permitTaken whether its first attempt has room at the service's ceiling already
+ * @param attemptId id of this attempt
+ * @param body one reference, owned by the receiver
+ * @param key the requested object, for the module's table; null for none
+ * @param arrivedAt in microseconds of the event loop's clock, like {@code deadline}
+ * @param bufferLimit an answer of up to this many bytes is buffered; a longer one is streamed
+ * @param permitTaken whether a permit for its first attempt has been taken already
  */
 public record Call(
         Route route,
--- a/src/main/java/gorsemast/dispatch/CallListener.java
+++ b/src/main/java/gorsemast/dispatch/CallListener.java
@@ -4,17 +4,17 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** Where a call's single final answer goes: one of these is called, once. On the event loop. */
+/** Receives a call's single final answer; exactly one method is called, once, on the event loop. */
 public interface CallListener {
-    /** A server's answer, whatever it says; only lent. */
+    /** A server's complete answer with any status; the receiver does not own it. */
     void onAnswer(FullHttpResponse answer);
 
-    /** Instead: an answer that is passed on as it comes. */
+    /** An answer that is streamed as it arrives. */
     ResponseSink onStreamStart(HttpResponse head, long length, ResponseSink.FlowControl flow);
 
-    /** It has not run and will not: come back then; {@code sent} where an attempt has gone out. */
+    /** The call was not executed and will not be: retry after this time; {@code sent} if an attempt was sent. */
     void onRefused(long retryAfterMicros, boolean sent);
 
-    /** Nothing is promised; {@code timeUp} where its time was over, {@code sent} where an attempt has gone out. */
+    /** No promise is made; {@code timeUp} if the call timed out, {@code sent} if an attempt was sent. */
     void onFailed(boolean timeUp, boolean sent);
 }
--- a/src/main/java/gorsemast/dispatch/CallState.java
+++ b/src/main/java/gorsemast/dispatch/CallState.java
@@ -3,111 +3,117 @@
 import anisebend.Balancer.Code;
 
 /**
- * What is known of one call over all of its attempts: whether one is out, whether any may have run, and so whether
- * another may be sent and what its client may be told. No I/O, no clock; one thread.
+ * The state of one call over all of its attempts: whether one is in flight and whether any may have been executed,
+ * and so whether another may be sent and what the client may be told. No I/O or clock; not thread-safe.
  *
- * <p>Carried out by {@link ServiceDispatcher} over sockets and by the simulation's sender in virtual time. The decision module goes
- * by the same outcomes; this is the second lock: what the module would get wrong is withheld here.
+ * <p>Used by {@link ServiceDispatcher} over sockets and by the simulation in virtual time. The decision module
+ * follows the same outcomes; this class is a second safeguard that blocks what the module would get wrong.
  */
 public class CallState {
-    /** The rest of a call's time is kept for its answer's way, in microseconds. */
+    /** Time at the end of a call that is reserved for the answer's way back to the client. */
     public static final long ANSWER_RESERVE_MICROS = 8_000;
-    /** The module's own end comes so much before that, in microseconds. */
+    /** How much earlier than that the module's own deadline is. */
     public static final long MODULE_MARGIN_MICROS = 12_000;
 
     private static final int NONE = -1;
     private static final int REQUEST_TIMEOUT = 408;
     private static final int MISDIRECTED = 421;
-    private static final int TOO_MANY = 429;
-    private static final int UNAVAILABLE = 503;
+    private static final int TOO_MANY_REQUESTS = 429;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     private final boolean repeatable;
     private int attempts;
-    private int out = NONE;
-    private int sent;
+    private int inFlight = NONE;
+    private int sentAttempts;
     private boolean mayHaveRun;
     private boolean answered;
 
-    /** Of a call that may run more than once, or not. */
+    /** Creates the state of a call that may or may not be executed more than once. */
     public CallState(boolean repeatable) {
         this.repeatable = repeatable;
     }
 
-    /** Whether a status promises its client that the request has not run and never will. */
+    /** Whether a status promises the client that the request was not executed and never will be. */
     public static boolean promisesNotExecuted(int status) {
-        return status == REQUEST_TIMEOUT || status == MISDIRECTED || status == TOO_MANY || status == UNAVAILABLE;
+        return status == REQUEST_TIMEOUT
+                || status == MISDIRECTED
+                || status == TOO_MANY_REQUESTS
+                || status == SERVICE_UNAVAILABLE;
     }
 
-    /** Counts an attempt that the module has asked for; returns its number, from 0 on. */
+    /** Counts an attempt that the module requested; returns its number, from 0. */
     public final int nextAttempt() {
         return attempts++;
     }
 
-    /** Whether another attempt may be sent now: none is out, and what may have run may also be repeated. */
+    /**
+     * Whether another attempt may be sent now: none is in flight, and what may have been executed may be repeated.
+     */
     public boolean maySend() {
-        return !answered && out == NONE && (repeatable || !mayHaveRun);
+        return !answered && inFlight == NONE && (repeatable || !mayHaveRun);
     }
 
-    /** That attempt is on its way. */
+    /** Records that an attempt was sent. */
     public final void attemptSent(int attempt) {
-        out = attempt;
-        sent++;
+        inFlight = attempt;
+        sentAttempts++;
     }
 
-    /** Whether any attempt has gone out, so that a server may have got it. */
+    /** Whether any attempt was sent, so that a server may have received it. */
     public final boolean hasBeenSent() {
-        return sent > 0;
+        return sentAttempts > 0;
     }
 
-    /** It has ended so; false where it is not the one that is out, and nothing follows from it. */
+    /** Records an attempt's outcome; returns false, without effect, if it is not the one in flight. */
     public final boolean attemptEnded(int attempt, Code code) {
-        if (out != attempt) {
+        if (inFlight != attempt) {
             return false;
         }
-        out = NONE;
-        sent -= code == Code.NOT_SENT ? 1 : 0;
+        inFlight = NONE;
+        sentAttempts -= code == Code.NOT_SENT ? 1 : 0;
         mayHaveRun |= mayHaveRun(code);
         return true;
     }
 
-    /** Whether an attempt that ended so may have run. */
+    /** Whether an attempt with this outcome may have been executed. */
     protected boolean mayHaveRun(Code code) {
         return code.mayHaveRun;
     }
 
-    /** Whether this attempt is out. */
+    /** Whether this attempt is in flight. */
     public final boolean isInFlight(int attempt) {
-        return out == attempt && out != NONE;
+        return inFlight == attempt && inFlight != NONE;
     }
 
-    /** Whether any is out. */
+    /** Whether any attempt is in flight. */
     public final boolean isInFlight() {
-        return out != NONE;
+        return inFlight != NONE;
     }
 
-    /** The number of the attempt that was asked for last; -1 before the first. */
+    /** The number of the last requested attempt; -1 before the first. */
     public final int lastAttempt() {
         return attempts - 1;
     }
 
-    /** Its client has been told; nothing is sent from now on. */
+    /** Records that the client has its answer; nothing is sent from now on. */
     public final void markAnswered() {
         answered = true;
     }
 
-    /** Whether its client has been told. */
+    /** Whether the client has its answer. */
     public final boolean isAnswered() {
         return answered;
     }
 
-    /** Whether a refusal, which promises that it never runs, is true. */
+    /** Whether a refusal, which promises that the call is never executed, would be true. */
     public boolean mayRefuse() {
-        return repeatable || !mayHaveRun && out == NONE;
+        return repeatable || !mayHaveRun && inFlight == NONE;
     }
 
     /**
-     * Whether a server's answer with this status may be passed on. Who answered without {@code Not-Executed} may have run
-     * it; a status that would promise the opposite is kept from a client whose call may run once.
+     * Whether a server's answer with this status may be forwarded. A server that answered without {@code
+     * Not-Executed} may have executed the call; a status that would promise the opposite is withheld if the call must
+     * not be repeated.
      */
     public boolean mayForward(int status) {
         return repeatable || !promisesNotExecuted(status);
--- a/src/main/java/gorsemast/dispatch/EdgeSharing.java
+++ b/src/main/java/gorsemast/dispatch/EdgeSharing.java
@@ -6,53 +6,58 @@
 import java.util.List;
 
 /**
- * How many edges share one service's servers, and what follows for each: which servers it keeps connections to, how many to
- * each, and, of a service whose objects are held, which edges fetch them at all.
+ * Divides one service's servers among the edges: which servers an edge keeps connections to, how many to each, and,
+ * for a service with cached objects, which edges fetch them at all.
  *
- * <p><b>Idea.</b> A server takes so many connections from all callers together and resets what is beyond. Where each edge can
- * have {@link #USEFUL_CONNECTIONS} with every server, nothing is divided. Else each goes to as many servers as leave that many to it, named
- * by rendezvous, and another takes the place of one that leaves. Objects are fetched by their homes: each further edge on the way is a
- * queue, a narrow link and a time limit of its own. Only where connections, or the rate that servers bear, are too little for all does
- * a part of the edges fetch for all homes, again by rendezvous. All edges that know the same of machines and servers come to the same.
+ * <p>A server accepts a limited number of connections from all callers together and resets any beyond it. If each
+ * edge can have {@link #USEFUL_CONNECTIONS} with every server, nothing is divided. Otherwise each edge uses as many
+ * servers as leave it that many connections, chosen by rendezvous hashing; a server that leaves is replaced by
+ * another. Objects are fetched by their homes, as each further edge on the path adds a queue, a narrow link and a
+ * timeout of its own. Only where connections or the servers' rate are too few for all edges do some of them fetch for
+ * all homes, again chosen by rendezvous hashing. Edges with the same view of edges and servers choose the same.
  *
- * <p><b>When it could hurt.</b> Edges that disagree on who is there go to more servers for a while than their parts allow.
+ * <p>Edges that disagree on which edges are up use more servers for a while than their shares allow.
  *
- * @param edges that share the servers
- * @param servers that may be sent to
- * @param connectionsPerServer connections that one server takes from all together
- * @param ownConnections connections to servers that this edge may have for this service
+ * @param edges number of edges that share the servers
+ * @param servers number of servers that accept new requests
+ * @param connectionsPerServer connections that one server accepts from all edges together
+ * @param ownConnections connections to this service's servers that this edge may have
  */
 public record EdgeSharing(int edges, int servers, int connectionsPerServer, int ownConnections) {
-    /** Connections with one server that make its use worth while: one in use and one coming free. */
+    /** Connections that make using a server worthwhile: one in use and one becoming free. */
     static final int USEFUL_CONNECTIONS = 2;
-    /** With fewer servers than this an edge would have too little choice when they fail. */
+    /** With fewer servers than this an edge would have too little choice when some fail. */
     static final int MIN_SERVERS = 3;
-    /** An edge that fetches needs so many fetches a second: with less its rights within a window are too few to be of use. */
+    /** A fetcher needs at least this rate: with less, its permits per window are too few to be useful. */
     static final double MIN_FETCHES_PER_SECOND = 1;
-    /** Connections to fetch by end with their answers: a fraction is open at a time, so more edges may have one than fit. */
+    /**
+     * Connections for fetches close after the answer, so only some are open at a time and more edges than connections
+     * may fetch.
+     */
     static final double FETCHERS_PER_CONNECTION = 2;
 
-    /** How many servers this edge goes to. */
+    /** How many servers this edge uses. */
     public int serverCount() {
-        double all = (double) servers * connectionsPerServer / (USEFUL_CONNECTIONS * (double) Math.max(1, edges));
-        int byRule = (int) Math.min(servers, Math.max(MIN_SERVERS, all));
-        return Math.max(1, Math.min(byRule, Math.max(MIN_SERVERS, ownConnections)));
+        double affordable =
+                (double) servers * connectionsPerServer / (USEFUL_CONNECTIONS * (double) Math.max(1, edges));
+        int wanted = (int) Math.min(servers, Math.max(MIN_SERVERS, affordable));
+        return Math.max(1, Math.min(wanted, Math.max(MIN_SERVERS, ownConnections)));
     }
 
     /** How many connections this edge may have to each of them. */
     public int connectionShare() {
-        double users = Math.max(1, (double) edges * serverCount() / Math.max(1, servers));
-        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectionsPerServer / users));
+        double edgesPerServer = Math.max(1, (double) edges * serverCount() / Math.max(1, servers));
+        return (int) Math.max(1, Math.min(Integer.MAX_VALUE, connectionsPerServer / edgesPerServer));
     }
 
-    /** How many edges fetch objects from servers that bear {@code perSecond} requests. */
-    public static int fetcherCount(int edges, int most, double perSecond) {
-        double byConnections = Math.max(1, FETCHERS_PER_CONNECTION * most);
-        double byRate = Math.max(1, perSecond / MIN_FETCHES_PER_SECOND);
+    /** How many edges fetch objects from servers that accept {@code serverRatePerSecond} requests per second. */
+    public static int fetcherCount(int edges, int connectionsPerServer, double serverRatePerSecond) {
+        double byConnections = Math.max(1, FETCHERS_PER_CONNECTION * connectionsPerServer);
+        double byRate = Math.max(1, serverRatePerSecond / MIN_FETCHES_PER_SECOND);
         return (int) Math.max(Math.min(2, edges), Math.min(edges, Math.min(byConnections, byRate)));
     }
 
-    /** The servers that the edge with this name goes to, out of those that may be sent to. */
+    /** The servers that this edge uses, out of those that accept new requests. */
     public static List<String> chosenServers(String edge, Collection<String> servers, int count) {
         return count >= servers.size()
                 ? new ArrayList<>(servers)
--- a/src/main/java/gorsemast/dispatch/HopByHopHeaders.java
+++ b/src/main/java/gorsemast/dispatch/HopByHopHeaders.java
@@ -8,9 +8,12 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Which headers concern one connection only (RFC 9110, 7.6.1) and are not passed on. No state; any thread. */
+/**
+ * Separates headers that concern one connection only (RFC 9110, 7.6.1) from those that are forwarded. Stateless;
+ * thread-safe.
+ */
 public final class HopByHopHeaders {
-    private static final Set<String> OWN = Set.of(
+    private static final Set<String> HOP_BY_HOP = Set.of(
             "connection",
             "keep-alive",
             "proxy-connection",
@@ -26,13 +29,16 @@
 
     private HopByHopHeaders() {}
 
-    /** Whether this one stays behind; {@code named} are those that {@code Connection} names, in lower case. */
-    private static boolean stays(String name, Set<String> named) {
+    /**
+     * Whether this header is not forwarded; {@code connectionOptions} are the lower-case names that {@code
+     * Connection} lists.
+     */
+    private static boolean isHopByHop(String name, Set<String> connectionOptions) {
         String lower = name.toLowerCase(Locale.ROOT);
-        return OWN.contains(lower) || named.contains(lower);
+        return HOP_BY_HOP.contains(lower) || connectionOptions.contains(lower);
     }
 
-    private static Set<String> named(HttpHeaders headers) {
+    private static Set<String> connectionOptions(HttpHeaders headers) {
         Set<String> named = new HashSet<>();
         for (String line : headers.getAll(HttpHeaderNames.CONNECTION)) {
             for (String word : line.split(",")) {
@@ -42,12 +48,12 @@
         return named;
     }
 
-    /** Adds all but those; lengths are said anew by whoever sends them. */
+    /** Adds all headers that are forwarded; the sender sets the length itself. */
     public static void copyEndToEnd(HttpHeaders from, HttpHeaders to) {
-        Set<String> named = named(from);
+        Set<String> named = connectionOptions(from);
         for (Iterator<Map.Entry<String, String>> all = from.iteratorAsString(); all.hasNext(); ) {
             Map.Entry<String, String> header = all.next();
-            if (!stays(header.getKey(), named)) {
+            if (!isHopByHop(header.getKey(), named)) {
                 to.add(header.getKey(), header.getValue());
             }
         }
--- a/src/main/java/gorsemast/dispatch/ModuleConfiguration.java
+++ b/src/main/java/gorsemast/dispatch/ModuleConfiguration.java
@@ -14,28 +14,29 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What one service's decision module is told: its classes, its bounds, and its servers with their weights.
+ * The configuration of one service's decision module: its request classes, its limits, and its servers with their
+ * weights.
  *
- * <p>Routes become the module's classes; a class keeps its number for good, and a route that changes gets another. What
- * may be sent beyond each request's first attempt is this edge's part of the service's budget. A server weighs as much as
- * it has room, by its speed beside the others ({@link ServerSpeeds}), and for objects by how near it is. No I/O, no clock, no
- * threads; times in microseconds.
+ * <p>Routes map to the module's request classes. A class keeps its number for good; a changed route gets a new one.
+ * The budget for attempts beyond each request's first one is this edge's share of the service's budget. A server's
+ * weight is its capacity, adjusted by its speed relative to the others ({@link ServerSpeeds}) and, for objects, by
+ * its zone. No I/O, clock or threads; times are in microseconds.
  */
 public final class ModuleConfiguration {
-    /** Of the budget that the rules leave to all edges, so much is spent; the rest is for what they count otherwise. */
-    private static final double SPENT_OF_BUDGET = 0.75;
-    /** How slow a server is that says it is cold, until nothing else is known. */
-    private static final double COLD_SHARE = 0.5;
+    /** Part of the retry budget of all edges that is used; the rest allows for differences in counting. */
+    private static final double USED_BUDGET_RATIO = 0.75;
+    /** Assumed speed of a server that reports that it is cold, until more is known. */
+    private static final double COLD_SPEED_RATIO = 0.5;
 
     private static final long COLD_MICROS = 3_000_000;
-    private static final long MOST_RETRY_AFTER = 1_000_000;
-    private static final long LEAST_DEADLINE = 50_000;
-    /** The module is told of changed speeds not more often than this. */
-    private static final long SPEED_MICROS = 400_000;
-    /** So many times as much goes to servers of the own zone, for objects, whose bytes are dear between zones. */
-    private static final double NEAR = 4;
-
-    /** What bounds further attempts over all edges. */
+    private static final long MAX_RETRY_AFTER_MICROS = 1_000_000;
+    private static final long MIN_DEADLINE_MICROS = 50_000;
+    /** Shortest time between updates of the module for changed speeds. */
+    private static final long MIN_WEIGHT_UPDATE_MICROS = 400_000;
+    /** Weight factor of servers in the edge's own zone, for objects: their bytes are expensive between zones. */
+    private static final double SAME_ZONE_WEIGHT = 4;
+
+    /** Limits further attempts over all edges. */
     public record RetryBudget(double ratio, double slack, long windowMicros) {}
 
     private final String self;
@@ -43,21 +44,21 @@
     private final RetryBudget budget;
     private final int zone;
     private final List<Balancer.RequestClass> classes = new ArrayList<>();
-    private final ServerSpeeds speeds = new ServerSpeeds();
+    private final ServerSpeeds serverSpeeds = new ServerSpeeds();
     private final Map<String, Balancer.Server> entries = new LinkedHashMap<>();
     private Map<String, ServerInstance> servers = Map.of();
-    private int mostConnections = Integer.MAX_VALUE;
-    private int users;
-    private int part = Integer.MAX_VALUE;
-    private long toldAt = Long.MIN_VALUE / 2;
+    private int connectionsPerServer = Integer.MAX_VALUE;
+    private int sharingEdges;
+    private int connectionShare = Integer.MAX_VALUE;
+    private long listedAt = Long.MIN_VALUE / 2;
     private int edges;
-    private int attempts = 1;
-    private boolean objects;
+    private int maxAttempts = 1;
+    private boolean cacheable;
 
     /**
-     * For the edge with this name, in the zone with this number, one of {@code edges}.
+     * Creates the configuration for the edge {@code self} in the zone with this number, one of {@code edges}.
      *
-     * @param ownConnections to this service's servers that it may have
+     * @param ownConnections how many connections this edge may have to the service's servers
      */
     public ModuleConfiguration(
             String self, int ownConnections, RetryBudget budget, int zone, List<Route> routes, int edges) {
@@ -66,25 +67,25 @@
         this.budget = budget;
         this.zone = zone;
         this.edges = Math.max(1, edges);
-        this.users = this.edges;
-        learn(routes);
+        this.sharingEdges = this.edges;
+        addClasses(routes);
     }
 
-    /** How many connections one server takes from all callers, and how many edges are those. */
-    public void setConnectionLimit(int connections, int sharedBy) {
-        mostConnections = connections;
-        users = Math.max(1, sharedBy);
+    /** Sets how many connections one server accepts from all callers, and how many edges share them. */
+    public void setConnectionLimit(int serverConnections, int sharedBy) {
+        connectionsPerServer = serverConnections;
+        sharingEdges = Math.max(1, sharedBy);
     }
 
     /** How many connections this edge may have to each of its servers. */
     public int connectionShare() {
-        return part;
+        return connectionShare;
     }
 
-    /** What bounds the module. */
+    /** The module's settings. */
     public Balancer.Settings settings() {
-        double part = SPENT_OF_BUDGET / edges;
-        // No entry of the list is an origin behind the others, so misses are no part of this.
+        double edgeShare = USED_BUDGET_RATIO / edges;
+        // No server in the list is an origin behind the others, so the settings for misses do not apply.
         return new Balancer.Settings(
                 edges,
                 zone,
@@ -92,64 +93,70 @@
                 List.copyOf(classes),
                 List.of(),
                 1,
-                attempts,
+                maxAttempts,
                 true,
                 false,
                 true,
-                MOST_RETRY_AFTER,
+                MAX_RETRY_AFTER_MICROS,
                 false,
                 0,
-                COLD_SHARE,
+                COLD_SPEED_RATIO,
                 COLD_MICROS,
-                budget.slack * part,
-                budget.ratio * SPENT_OF_BUDGET,
+                budget.slack * edgeShare,
+                budget.ratio * USED_BUDGET_RATIO,
                 budget.windowMicros);
     }
 
-    private static Balancer.RequestClass type(Route route) {
+    private static Balancer.RequestClass requestClass(Route route) {
         return new Balancer.RequestClass(
                 route.isRepeatable() ? Balancer.Effect.SAFE : Balancer.Effect.UNSAFE,
                 Balancer.Group.ALL,
                 0,
                 Math.max(1, route.targetLatencyMicros()),
-                Math.max(LEAST_DEADLINE, route.timeoutMicros()),
+                Math.max(MIN_DEADLINE_MICROS, route.timeoutMicros()),
                 1.0 / (1 + Math.max(0, route.priority())));
     }
 
-    private boolean learn(List<Route> routes) {
-        int before = classes.size();
+    private boolean addClasses(List<Route> routes) {
+        int knownClasses = classes.size();
         for (Route route : routes) {
-            if (!classes.contains(type(route))) {
-                classes.add(type(route));
+            if (!classes.contains(requestClass(route))) {
+                classes.add(requestClass(route));
             }
         }
-        objects = routes.stream().anyMatch(route -> route.kind() == Route.Kind.CACHEABLE);
-        int least =
+        cacheable = routes.stream().anyMatch(route -> route.kind() == Route.Kind.CACHEABLE);
+        int minAttempts =
                 Math.max(1, routes.stream().mapToInt(Route::maxAttempts).min().orElse(1));
-        boolean changed = classes.size() != before || least != attempts;
-        attempts = least;
+        boolean changed = classes.size() != knownClasses || minAttempts != maxAttempts;
+        maxAttempts = minAttempts;
         return changed;
     }
 
-    /** The routes that lead here, and by how many edges what is bounded over all is divided; whether anything changes. */
-    public boolean updateRoutes(List<Route> routes, int sharedBy) {
-        boolean changed = learn(routes) || sharedBy != edges;
-        edges = Math.max(1, sharedBy);
+    /**
+     * Sets the routes to this service and the number of edges that share its limits; returns whether anything
+     * changed.
+     */
+    public boolean updateRoutes(List<Route> routes, int edgeCount) {
+        boolean changed = addClasses(routes) || edgeCount != edges;
+        edges = Math.max(1, edgeCount);
         return changed;
     }
 
-    /** The class of a route; -1 where the module does not know it yet. */
+    /** The number of a route's class; -1 if the module does not know it yet. */
     public int classNumber(Route route) {
-        return classes.indexOf(type(route));
+        return classes.indexOf(requestClass(route));
     }
 
-    /** Makes a class for a route of a version that has only just been replaced; the module is to be retuned then. */
+    /**
+     * Adds a class for a route of a configuration that has just been replaced; the module has to be retuned
+     * afterwards.
+     */
     public int addClass(Route route) {
-        classes.add(type(route));
+        classes.add(requestClass(route));
         return classes.size() - 1;
     }
 
-    /** Who there is. What is silent is tried only where nobody else is there. Returns whom it knew before. */
+    /** Sets the known servers and returns the previous ones. Silent servers are used only if no server is ready. */
     public Map<String, ServerInstance> updateServers(
             long now, Collection<ServerInfo> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
         boolean someReady = news.stream().anyMatch(one -> one.state() == ServerInfo.State.READY);
@@ -159,9 +166,9 @@
                                 || !someReady && one.state() == ServerInfo.State.SILENT))
                 .map(ServerInfo::id)
                 .toList();
-        EdgeSharing crowd = new EdgeSharing(users, ready.size(), mostConnections, ownConnections);
-        Set<String> chosen = new HashSet<>(EdgeSharing.chosenServers(self, ready, crowd.serverCount()));
-        part = crowd.connectionShare();
+        EdgeSharing sharing = new EdgeSharing(sharingEdges, ready.size(), connectionsPerServer, ownConnections);
+        Set<String> chosen = new HashSet<>(EdgeSharing.chosenServers(self, ready, sharing.serverCount()));
+        connectionShare = sharing.connectionShare();
         Map<String, ServerInstance> next = new HashMap<>();
         entries.clear();
         for (ServerInfo one : news) {
@@ -190,24 +197,24 @@
         }
         Map<String, ServerInstance> before = servers;
         servers = next;
-        speeds.retainOnly(next.keySet());
+        serverSpeeds.retainOnly(next.keySet());
         return before;
     }
 
-    /** A server by its id; null where it is none or has left. */
+    /** A server by its id; null if it is unknown or has left. */
     public ServerInstance server(String id) {
         return servers.get(id);
     }
 
-    /** Whether a server may be sent anything new. */
+    /** Whether new requests may be sent to a server. */
     public boolean isReady(String id) {
         ServerInstance server = servers.get(id);
         return server != null && server.state() == ServerInfo.State.READY;
     }
 
-    /** All servers with their weights; the module counts as told of them. */
+    /** All servers with their current weights, which count as passed to the module. */
     public List<Balancer.Server> weightedServers(long now) {
-        toldAt = now;
+        listedAt = now;
         List<Balancer.Server> list = new ArrayList<>();
         entries.values()
                 .forEach(e -> list.add(new Balancer.Server(
@@ -216,35 +223,45 @@
                         e.kind(),
                         e.cell(),
                         e.state(),
-                        e.weight() * speeds.weightFactor(now, e.id()) * (objects && e.zone() == zone ? NEAR : 1),
+                        e.weight()
+                                * serverSpeeds.weightFactor(now, e.id())
+                                * (cacheable && e.zone() == zone ? SAME_ZONE_WEIGHT : 1),
                         e.startedAt())));
         return list;
     }
 
-    /** A server has answered a route's request after so long; whether the module is to be told the list again. */
+    /**
+     * Records how long a server took for a request of a route; returns whether the module needs the server list
+     * again.
+     */
     public boolean recordAnswer(long now, String id, Route route, long elapsed) {
-        speeds.recordAnswer(id, classNumber(route), elapsed);
-        return outdated(now, id);
+        serverSpeeds.recordAnswer(id, classNumber(route), elapsed);
+        return isWeightOutdated(now, id);
     }
 
-    /** What all edges together have seen, of this service's servers among others; whether the module is to be told. */
+    /**
+     * Applies what all edges together have observed, of this service's servers among others; returns whether the
+     * module needs the server list again.
+     */
     public boolean applyPooledObservations(long now, Map<String, double[]> pooled) {
-        Map<String, ServerSpeeds.Observation> known = new HashMap<>();
+        Map<String, ServerSpeeds.Observation> knownServers = new HashMap<>();
         pooled.forEach((id, seen) -> {
             if (entries.containsKey(id)) {
-                known.put(id, new ServerSpeeds.Observation(seen[0], seen[1]));
+                knownServers.put(id, new ServerSpeeds.Observation(seen[0], seen[1]));
             }
         });
-        speeds.applyPooled(now, known);
-        return known.keySet().stream().anyMatch(id -> outdated(now, id));
+        serverSpeeds.applyPooled(now, knownServers);
+        return knownServers.keySet().stream().anyMatch(id -> isWeightOutdated(now, id));
     }
 
-    private boolean outdated(long now, String id) {
-        return now - toldAt > SPEED_MICROS && speeds.hasChanged(now, id);
+    private boolean isWeightOutdated(long now, String id) {
+        return now - listedAt > MIN_WEIGHT_UPDATE_MICROS && serverSpeeds.hasChanged(now, id);
     }
 
-    /** What was seen here of this service's servers, added to {@code to}, for other edges. */
-    public void collectObservations(Map<String, double[]> to) {
-        speeds.ownObservations().forEach((id, seen) -> to.put(id, new double[] {seen.slowness(), seen.answers()}));
+    /** Adds this edge's observations of the service's servers to {@code target}, for other edges. */
+    public void collectObservations(Map<String, double[]> target) {
+        serverSpeeds
+                .ownObservations()
+                .forEach((id, seen) -> target.put(id, new double[] {seen.slowness(), seen.answers()}));
     }
 }
--- a/src/main/java/gorsemast/dispatch/ServerDialect.java
+++ b/src/main/java/gorsemast/dispatch/ServerDialect.java
@@ -13,53 +13,53 @@
 import io.netty.handler.codec.http.HttpVersion;
 
 /**
- * What the delivery network and its servers say to each other above HTTP: whether a request has run is told by
- * {@code Not-Executed}, and whose an answer is by {@code Attempt-Id}.
+ * The conventions between the delivery network and its servers on top of HTTP: {@code Not-Executed} marks a request
+ * that was not executed, and {@code Attempt-Id} matches an answer to its request.
  */
 public final class ServerDialect implements Dialect {
-    /** The id of a client's try. */
+    /** Header with the id of a client's attempt. */
     public static final String ATTEMPT_ID = "Attempt-Id";
-    /** Milliseconds that are left. */
+    /** Header with the remaining time in milliseconds. */
     public static final String TIME_BUDGET = "Time-Budget";
-    /** The life of a server that alone may run it. */
+    /** Header with the server instance that alone may execute the request. */
     public static final String TARGET_INSTANCE = "Target-Instance";
-    /** What a server's answer carries. */
+    /** Header that marks a server's own answer. */
     public static final String EDGE_SEAL = "Edge-Seal";
 
-    /** A request on a route whose objects may be held. */
+    /** A request on a route whose objects may be cached. */
     public static final class CacheableRequest extends DefaultFullHttpRequest {
-        /** Owns the body. */
+        /** Takes ownership of the body. */
         public CacheableRequest(HttpMethod method, String uri, ByteBuf body) {
             super(HttpVersion.HTTP_1_1, method, uri, body);
         }
     }
 
-    private static final String NOT_RUN = "Not-Executed";
+    private static final String NOT_EXECUTED = "Not-Executed";
     private static final int MISDIRECTED = 421;
-    private static final int FAILED = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     @Override
     public Code code(HttpResponse answer) {
         int status = answer.status().code();
         if (status == MISDIRECTED) {
-            return Code.CONNECT_FAILED; // another life has the address; this one is not there
+            return Code.CONNECT_FAILED; // another instance has the address; the target instance is gone
         }
-        if (answer.headers().contains(NOT_RUN)) {
+        if (answer.headers().contains(NOT_EXECUTED)) {
             return Code.FULL;
         }
-        // A status that promises, without the word that it has not run, is a failure: it may have run.
-        return status >= FAILED || CallState.promisesNotExecuted(status) ? Code.ERROR : Code.OK;
+        // A status that promises non-execution, without Not-Executed, is a failure: the request may have run.
+        return status >= INTERNAL_SERVER_ERROR || CallState.promisesNotExecuted(status) ? Code.ERROR : Code.OK;
     }
 
     /** Every answer of a server carries its attempt's id, and a success the server's seal; what lacks them is none. */
     @Override
     public ResponseMatch match(HttpRequest request, HttpResponse answer) {
-        String told = answer.headers().get(ATTEMPT_ID);
+        String attemptId = answer.headers().get(ATTEMPT_ID);
         boolean sealed = answer.headers().contains(EDGE_SEAL) || answer.status().codeClass() != HttpStatusClass.SUCCESS;
-        if (told == null) {
+        if (attemptId == null) {
             return needsExclusiveConnection(request) && sealed ? ResponseMatch.BY_POSITION : ResponseMatch.UNIDENTIFIED;
         }
-        if (!told.equals(request.headers().get(ATTEMPT_ID))) {
+        if (!attemptId.equals(request.headers().get(ATTEMPT_ID))) {
             return ResponseMatch.OTHER_REQUEST;
         }
         return sealed ? ResponseMatch.BY_ID : ResponseMatch.UNIDENTIFIED;
--- a/src/main/java/gorsemast/dispatch/ServerInstance.java
+++ b/src/main/java/gorsemast/dispatch/ServerInstance.java
@@ -4,5 +4,5 @@
 import gorsemast.http.Upstream;
 import java.net.InetSocketAddress;
 
-/** One life of a server, as it may be sent to. */
+/** One instance of a server as a destination of requests. */
 public record ServerInstance(String host, InetSocketAddress dial, ServerInfo.State state) implements Upstream.Peer {}
--- a/src/main/java/gorsemast/dispatch/ServerSpeeds.java
+++ b/src/main/java/gorsemast/dispatch/ServerSpeeds.java
@@ -5,98 +5,101 @@
 import java.util.Map;
 
 /**
- * How long each server of a service takes beside the others, as this edge has seen it and as others have told.
+ * Estimates how long each server of a service takes relative to the others, from this edge's observations and those
+ * of other edges.
  *
- * <p><b>Idea.</b> An answer's time in parts of what all servers take for its class, smoothed; what waits in a server's queue
- * counts too, as it should. An edge alone sees a handful of answers a second, so what all edges have seen together is taken
- * in, by how much they have seen, at half the weight of what was seen here, and is forgotten after {@link #POOLED_VALID_MICROS}.
+ * <p>An answer's time is divided by the usual time of its request class and smoothed; time in a server's queue counts
+ * too, as it should. One edge sees only a few answers per second, so the pooled observations of all edges are added,
+ * weighted by their number of answers but at half the weight of its own, and are ignored after {@link
+ * #POOLED_VALID_MICROS}.
  *
- * <p><b>When it could hurt.</b> A server that was slow and is so no more gets little until it has been tried again.
- * O(1) for a server's weight; one thread; times in microseconds.
+ * <p>A server that was slow and has recovered gets little traffic until it has been tried again. O(1) for a server's
+ * weight; not thread-safe; times are in microseconds.
  */
 final class ServerSpeeds {
-    /** How much less a server gets that is slower than the others: this power of how many times it takes as long. */
-    private static final double POWER = 3;
+    /** A server's weight is divided by this power of its relative response time. */
+    private static final double SLOWNESS_EXPONENT = 3;
 
-    private static final double STEP = 0.1;
-    private static final double LEAST = 0.33;
-    private static final double MOST = 4;
-    /** So many answers' worth of what is known before anything is. */
-    private static final double PRIOR = 2;
+    private static final double SMOOTHING = 0.1;
+    private static final double MIN_SLOWNESS = 0.33;
+    private static final double MAX_SLOWNESS = 4;
+    /** Number of answers of usual speed that an unknown server starts with. */
+    private static final double PRIOR_ANSWERS = 2;
 
     static final double MAX_OWN_ANSWERS = 20;
-    private static final double OTHERS = 0.5;
-    /** What all others have seen counts for no more than so many answers. */
+    private static final double POOLED_WEIGHT = 0.5;
+    /** Pooled observations count for at most this many answers. */
     static final double MAX_POOLED_ANSWERS = 200;
 
     static final long POOLED_VALID_MICROS = 15_000_000;
-    /** Beyond this factor a change is worth telling the module of. */
-    private static final double CHANGED = 1.1;
+    /** The module gets new weights when a server's slowness changes by more than this factor. */
+    private static final double SIGNIFICANT_CHANGE = 1.1;
 
-    /** What somebody has seen of a server. */
+    /** Observed slowness of a server and the number of answers behind it. */
     record Observation(double slowness, double answers) {}
 
-    private final Map<Integer, Double> usual = new HashMap<>();
-    private final Map<String, Observation> own = new HashMap<>();
-    private Map<String, Observation> all = Map.of();
-    private long allAt;
-    private final Map<String, Double> told = new HashMap<>();
+    private final Map<Integer, Double> usualMicrosByClass = new HashMap<>();
+    private final Map<String, Observation> ownObservations = new HashMap<>();
+    private Map<String, Observation> pooledObservations = Map.of();
+    private long pooledAt;
+    private final Map<String, Double> reportedSlowness = new HashMap<>();
 
-    /** A server has answered a request of this class after so long. */
-    void recordAnswer(String server, int type, long elapsed) {
-        double before = usual.getOrDefault(type, (double) elapsed);
-        usual.put(type, before + STEP / 2 * (elapsed - before));
-        double ratio = Math.max(LEAST, Math.min(MOST, elapsed / Math.max(1, before)));
-        Observation seen = own.getOrDefault(server, new Observation(1, 0));
-        own.put(
+    /** Records how long a server took for a request of this class. */
+    void recordAnswer(String server, int requestClass, long elapsed) {
+        double before = usualMicrosByClass.getOrDefault(requestClass, (double) elapsed);
+        usualMicrosByClass.put(requestClass, before + SMOOTHING / 2 * (elapsed - before));
+        double ratio = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, elapsed / Math.max(1, before)));
+        Observation seen = ownObservations.getOrDefault(server, new Observation(1, 0));
+        ownObservations.put(
                 server,
                 new Observation(
-                        seen.slowness + STEP * (ratio - seen.slowness), Math.min(MAX_OWN_ANSWERS, seen.answers + 1)));
+                        seen.slowness + SMOOTHING * (ratio - seen.slowness),
+                        Math.min(MAX_OWN_ANSWERS, seen.answers + 1)));
     }
 
-    /** What all edges have seen together. */
+    /** Sets what all edges together have observed. */
     void applyPooled(long now, Map<String, Observation> pooled) {
-        all = new HashMap<>(pooled);
-        all.values().removeIf(seen -> !Double.isFinite(seen.slowness) || !Double.isFinite(seen.answers));
-        allAt = now;
+        pooledObservations = new HashMap<>(pooled);
+        pooledObservations.values().removeIf(seen -> !Double.isFinite(seen.slowness) || !Double.isFinite(seen.answers));
+        pooledAt = now;
     }
 
-    /** What was seen here, for others. */
+    /** This edge's observations, for other edges. */
     Map<String, Observation> ownObservations() {
-        return own;
+        return ownObservations;
     }
 
-    /** How many times as long as usual it takes. */
+    /** The server's response time as a multiple of the usual one. */
     double slowness(long now, String server) {
-        Observation mine = own.getOrDefault(server, new Observation(1, 0));
-        double weight = PRIOR + mine.answers;
-        double sum = PRIOR + mine.slowness * mine.answers;
-        Observation pooled = all.get(server);
-        if (pooled != null && now - allAt < POOLED_VALID_MICROS) {
-            double part = OTHERS * Math.max(0, Math.min(MAX_POOLED_ANSWERS, pooled.answers));
-            weight += part;
-            sum += part * Math.max(LEAST, Math.min(MOST, pooled.slowness));
+        Observation own = ownObservations.getOrDefault(server, new Observation(1, 0));
+        double weight = PRIOR_ANSWERS + own.answers;
+        double sum = PRIOR_ANSWERS + own.slowness * own.answers;
+        Observation pooled = pooledObservations.get(server);
+        if (pooled != null && now - pooledAt < POOLED_VALID_MICROS) {
+            double pooledAnswers = POOLED_WEIGHT * Math.max(0, Math.min(MAX_POOLED_ANSWERS, pooled.answers));
+            weight += pooledAnswers;
+            sum += pooledAnswers * Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, pooled.slowness));
         }
         return sum / weight;
     }
 
-    /** By what its share is multiplied; the module counts as told of it. */
+    /** The factor for the server's weight; its slowness counts as reported to the module. */
     double weightFactor(long now, String server) {
         double slow = slowness(now, server);
-        told.put(server, slow);
-        return Math.pow(slow, -POWER);
+        reportedSlowness.put(server, slow);
+        return Math.pow(slow, -SLOWNESS_EXPONENT);
     }
 
-    /** Whether what the module was told of a server holds no more. */
+    /** Whether a server's slowness differs significantly from what was reported to the module. */
     boolean hasChanged(long now, String server) {
         double slow = slowness(now, server);
-        double before = told.getOrDefault(server, 1.0);
-        return slow > before * CHANGED || before > slow * CHANGED;
+        double before = reportedSlowness.getOrDefault(server, 1.0);
+        return slow > before * SIGNIFICANT_CHANGE || before > slow * SIGNIFICANT_CHANGE;
     }
 
-    /** Forgets all but these servers. */
+    /** Forgets all other servers. */
     void retainOnly(Collection<String> servers) {
-        own.keySet().retainAll(servers);
-        told.keySet().retainAll(servers);
+        ownObservations.keySet().retainAll(servers);
+        reportedSlowness.keySet().retainAll(servers);
     }
 }
--- a/src/main/java/gorsemast/dispatch/ServiceDispatcher.java
+++ b/src/main/java/gorsemast/dispatch/ServiceDispatcher.java
@@ -33,27 +33,27 @@
 import java.util.function.ToIntFunction;
 
 /**
- * One service: its decision module and the requests that it holds.
+ * Sends the requests of one service as its decision module decides, and keeps those that are pending.
  *
- * <p>What the module is told is {@link ModuleConfiguration}'s; what it decides is carried out here, over {@link Upstream}. All on one
- * event loop.
+ * <p>{@link ModuleConfiguration} supplies the module's input; its decisions are carried out here over {@link
+ * Upstream}. Runs on one event loop.
  */
 public final class ServiceDispatcher implements Balancer.Actions {
-    /** What the module has left unanswered fails this long before the client's time is over. */
-    private static final long BACKSTOP_MICROS = CallState.ANSWER_RESERVE_MICROS;
+    /** A call that the module has left unanswered fails this long before its client's deadline. */
+    private static final long ANSWER_RESERVE_MICROS = CallState.ANSWER_RESERVE_MICROS;
 
     private static final Log LOG = new Log("dispatch");
 
-    private static final class Exchange {
+    private static final class PendingCall {
         private final String id;
         private final Call call;
         private final CallListener client;
-        private ScheduledFuture<?> backstop;
-        private Upstream.Attempt out;
-        private FullHttpResponse last;
+        private ScheduledFuture<?> timeout;
+        private Upstream.Attempt inFlight;
+        private FullHttpResponse lastFailure;
         private final CallState state;
 
-        Exchange(String id, Call call, CallListener client) {
+        PendingCall(String id, Call call, CallListener client) {
             this.state = new CallState(call.route().isRepeatable());
             this.id = id;
             this.call = call;
@@ -66,176 +66,188 @@
     private final LongSupplier clock;
     private final Upstream upstream;
     private final Balancer module = new BalancingPolicy(this);
-    private final RunToCompletionQueue turns = new RunToCompletionQueue(LOG::internalError);
-    private final ModuleConfiguration briefing;
-    private final BooleanSupplier ceiling;
-    private final Map<String, Exchange> open = new HashMap<>();
+    private final RunToCompletionQueue moduleQueue = new RunToCompletionQueue(LOG::internalError);
+    private final ModuleConfiguration moduleConfiguration;
+    private final BooleanSupplier permits;
+    private final Map<String, PendingCall> openExchanges = new HashMap<>();
     private long sequence;
 
     /**
-     * Of the service with this name.
+     * Creates the dispatcher of a service.
      *
-     * @param ceiling whether one more attempt may go out now, of what the service bears from all edges; it counts if so
+     * @param permits takes a permit for one more attempt from the service's rate over all edges; false if none is
+     *     available
      */
     public ServiceDispatcher(
             String service,
             EventLoop loop,
             LongSupplier clock,
             Upstream upstream,
-            ModuleConfiguration briefing,
-            BooleanSupplier ceiling,
+            ModuleConfiguration moduleConfiguration,
+            BooleanSupplier permits,
             long seed) {
         this.service = service;
         this.loop = loop;
         this.clock = clock;
         this.upstream = upstream;
-        this.briefing = briefing;
-        this.ceiling = ceiling;
-        turns.event(() -> module.start(now(), seed, briefing.settings()));
+        this.moduleConfiguration = moduleConfiguration;
+        this.permits = permits;
+        moduleQueue.event(() -> module.start(now(), seed, moduleConfiguration.settings()));
     }
 
     private long now() {
         return clock.getAsLong();
     }
 
-    /** The routes that lead here, and by how many edges what is bounded over all is divided. */
-    public void updateRoutes(List<Route> routes, int sharedBy) {
-        if (briefing.updateRoutes(routes, sharedBy)) {
-            turns.event(() -> module.reconfigure(now(), briefing.settings()));
+    /** Sets the routes to this service and the number of edges that share its limits. */
+    public void updateRoutes(List<Route> routes, int edgeCount) {
+        if (moduleConfiguration.updateRoutes(routes, edgeCount)) {
+            moduleQueue.event(() -> module.reconfigure(now(), moduleConfiguration.settings()));
         }
     }
 
-    /** How many connections one server takes from all callers, and how many edges are those; told before the servers. */
-    public void setConnectionLimit(int connections, int sharedBy) {
-        briefing.setConnectionLimit(connections, sharedBy);
+    /**
+     * Sets how many connections one server accepts from all callers, and how many edges share them; called before
+     * {@link #updateServers}.
+     */
+    public void setConnectionLimit(int connectionsPerServer, int sharedBy) {
+        moduleConfiguration.setConnectionLimit(connectionsPerServer, sharedBy);
     }
 
-    /** Who there is; who leaves is sent nothing new from now on. */
+    /** Sets the known servers; those that leave get no new requests. */
     public void updateServers(Collection<ServerInfo> news, Map<String, Long> coldUntil, ToIntFunction<String> zones) {
-        Map<String, ServerInstance> before = briefing.updateServers(now(), news, coldUntil, zones);
-        tell();
+        Map<String, ServerInstance> before = moduleConfiguration.updateServers(now(), news, coldUntil, zones);
+        sendServerList();
         news.forEach(one -> {
-            if (briefing.isReady(one.id())) {
-                upstream.limitPeer(one.id(), briefing.connectionShare());
+            if (moduleConfiguration.isReady(one.id())) {
+                upstream.limitPeer(one.id(), moduleConfiguration.connectionShare());
             }
         });
         before.keySet().forEach(id -> {
-            if (!briefing.isReady(id)) {
+            if (!moduleConfiguration.isReady(id)) {
                 upstream.closeIdle(id);
             }
-            if (briefing.server(id) == null) {
+            if (moduleConfiguration.server(id) == null) {
                 upstream.forget(id);
             }
         });
     }
 
-    private void tell() {
-        turns.event(() -> module.servers(now(), ListKind.FULL, briefing.weightedServers(now())));
+    private void sendServerList() {
+        moduleQueue.event(() -> module.servers(now(), ListKind.FULL, moduleConfiguration.weightedServers(now())));
     }
 
-    /** What was seen here of this service's servers, added to {@code to}, for other edges. */
-    public void collectObservations(Map<String, double[]> to) {
-        briefing.collectObservations(to);
+    /** Adds this edge's observations of the service's servers to {@code target}, for other edges. */
+    public void collectObservations(Map<String, double[]> target) {
+        moduleConfiguration.collectObservations(target);
     }
 
-    /** What all edges together have seen, of this service's servers among others. */
+    /** Applies what all edges together have observed, of this service's servers among others. */
     public void applyPooledObservations(Map<String, double[]> pooled) {
-        if (briefing.applyPooledObservations(now(), pooled)) {
-            tell();
+        if (moduleConfiguration.applyPooledObservations(now(), pooled)) {
+            sendServerList();
         }
     }
 
-    /** Whether a server may be sent anything new. */
+    /** Whether new requests may be sent to a server. */
     public boolean isReady(Upstream.Peer peer) {
-        return briefing.isReady(peer.host());
+        return moduleConfiguration.isReady(peer.host());
     }
 
-    /** Takes a call, with its body's reference; returns what ends it when its client leaves. */
+    /** Takes a call and the reference to its body; returns what aborts it when its client leaves. */
     public Runnable dispatch(Call call, CallListener client) {
-        Exchange x = new Exchange("r" + sequence++, call, client);
-        open.put(x.id, x);
-        x.backstop = loop.schedule(
-                () -> giveUp(x), Math.max(0, call.deadline() - BACKSTOP_MICROS - now()), TimeUnit.MICROSECONDS);
-        int number = briefing.classNumber(call.route());
+        PendingCall pending = new PendingCall("r" + sequence++, call, client);
+        openExchanges.put(pending.id, pending);
+        pending.timeout = loop.schedule(
+                () -> timeOut(pending),
+                Math.max(0, call.deadline() - ANSWER_RESERVE_MICROS - now()),
+                TimeUnit.MICROSECONDS);
+        int number = moduleConfiguration.classNumber(call.route());
         if (number < 0) {
-            number = briefing.addClass(call.route()); // of a version that has only just been replaced
-            turns.event(() -> module.reconfigure(now(), briefing.settings()));
+            number = moduleConfiguration.addClass(
+                    call.route()); // a route of a configuration that has just been replaced
+            moduleQueue.event(() -> module.reconfigure(now(), moduleConfiguration.settings()));
         }
         Balancer.Request request = new Balancer.Request(
-                x.id, number, 0, call.key(), call.deadline() - BACKSTOP_MICROS - CallState.MODULE_MARGIN_MICROS, false);
-        turns.event(() -> module.request(now(), request));
-        return () -> gone(x);
+                pending.id,
+                number,
+                0,
+                call.key(),
+                call.deadline() - ANSWER_RESERVE_MICROS - CallState.MODULE_MARGIN_MICROS,
+                false);
+        moduleQueue.event(() -> module.request(now(), request));
+        return () -> clientLeft(pending);
     }
 
-    private void gone(Exchange x) {
+    private void clientLeft(PendingCall x) {
         if (!x.state.isAnswered()) {
             conclude(x);
             abandon(x);
         }
     }
 
-    private void giveUp(Exchange x) {
+    private void timeOut(PendingCall x) {
         if (!x.state.isAnswered()) {
             conclude(x);
-            finalAnswer(x, () -> x.client.onFailed(true, x.state.hasBeenSent()));
+            deliverLastFailureOr(x, () -> x.client.onFailed(true, x.state.hasBeenSent()));
             abandon(x);
         }
     }
 
-    private void abandon(Exchange x) {
-        turns.event(() -> {
+    private void abandon(PendingCall x) {
+        moduleQueue.event(() -> {
             module.abandoned(now(), x.id);
-            turns.action(() -> forget(x));
+            moduleQueue.action(() -> forget(x));
         });
     }
 
-    /** Where a server has answered, though with a failure, its answer is what the client gets. */
-    private void finalAnswer(Exchange x, Runnable otherwise) {
-        if (x.last != null && x.state.mayForward(x.last.status().code())) {
-            x.client.onAnswer(x.last);
-        } else if (x.last != null) {
+    /** Forwards the last failed answer of a server if there is one and it may be forwarded. */
+    private void deliverLastFailureOr(PendingCall x, Runnable otherwise) {
+        if (x.lastFailure != null && x.state.mayForward(x.lastFailure.status().code())) {
+            x.client.onAnswer(x.lastFailure);
+        } else if (x.lastFailure != null) {
             x.client.onFailed(false, x.state.hasBeenSent());
         } else {
             otherwise.run();
         }
     }
 
-    private void conclude(Exchange x) {
+    private void conclude(PendingCall x) {
         x.state.markAnswered();
-        x.backstop.cancel(false);
-        if (x.out != null) {
-            x.out.cancel();
+        x.timeout.cancel(false);
+        if (x.inFlight != null) {
+            x.inFlight.cancel();
         }
     }
 
-    private void forget(Exchange x) {
-        if (x.state.isAnswered() && x.out == null && open.remove(x.id) != null) {
+    private void forget(PendingCall x) {
+        if (x.state.isAnswered() && x.inFlight == null && openExchanges.remove(x.id) != null) {
             x.call.body().release();
-            if (x.last != null) {
-                x.last.release();
+            if (x.lastFailure != null) {
+                x.lastFailure.release();
             }
         }
     }
 
-    // ---- actions of the module, carried out after it has returned
+    // ---- actions of the module, executed after it has returned
 
     @Override
     public void send(String request, String server, long until) {
-        turns.action(() -> sendNow(request, server, until));
+        moduleQueue.action(() -> sendNow(request, server, until));
     }
 
     private void sendNow(String request, String id, long until) {
-        Exchange x = open.get(request);
+        PendingCall x = openExchanges.get(request);
         int attempt = x.state.nextAttempt();
         long sentAt = now();
-        ServerInstance server = briefing.server(id);
-        long wait = Math.min(until, x.call.deadline() - BACKSTOP_MICROS) - sentAt;
-        if (x.out != null) {
-            x.out.cancel(); // never two at once, whatever the module says
+        ServerInstance server = moduleConfiguration.server(id);
+        long wait = Math.min(until, x.call.deadline() - ANSWER_RESERVE_MICROS) - sentAt;
+        if (x.inFlight != null) {
+            x.inFlight.cancel(); // never two attempts at once, whatever the module decides
         }
         boolean counted = attempt == 0 && x.call.permitTaken();
-        if (!x.state.maySend() || server == null || wait <= 0 || !counted && !ceiling.getAsBoolean()) {
-            told(x, attempt, sentAt, Code.NOT_SENT);
+        if (!x.state.maySend() || server == null || wait <= 0 || !counted && !permits.getAsBoolean()) {
+            reportOutcome(x, attempt, sentAt, Code.NOT_SENT);
             return;
         }
         x.state.attemptSent(attempt);
@@ -252,11 +264,12 @@
                     public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                         over[0] = true;
                         x.state.attemptEnded(attempt, code);
-                        if (x.out == mine[0]) {
-                            x.out = null;
+                        if (x.inFlight == mine[0]) {
+                            x.inFlight = null;
                         }
-                        if (code == Code.OK && briefing.recordAnswer(now(), id, x.call.route(), now() - sentAt)) {
-                            tell();
+                        if (code == Code.OK
+                                && moduleConfiguration.recordAnswer(now(), id, x.call.route(), now() - sentAt)) {
+                            sendServerList();
                         }
                         ServiceDispatcher.this.ended(x, attempt, sentAt, code, answer);
                     }
@@ -266,18 +279,18 @@
                             CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
                         over[0] = true;
                         x.state.attemptEnded(attempt, Code.OK);
-                        x.out = null;
+                        x.inFlight = null;
                         ResponseSink taker = null;
                         if (!x.state.isAnswered()) {
                             conclude(x);
                             taker = x.client.onStreamStart(head, length, flow);
                         }
-                        told(x, attempt, sentAt, Code.OK);
+                        reportOutcome(x, attempt, sentAt, Code.OK);
                         return taker;
                     }
                 });
         if (!over[0]) {
-            x.out = mine[0];
+            x.inFlight = mine[0];
         }
     }
 
@@ -300,25 +313,25 @@
         return message;
     }
 
-    private void ended(Exchange x, int attempt, long sentAt, Code code, FullHttpResponse answer) {
+    private void ended(PendingCall x, int attempt, long sentAt, Code code, FullHttpResponse answer) {
         if (code == Code.OK && !x.state.isAnswered()) {
             conclude(x);
             x.client.onAnswer(answer);
         } else if (code == Code.ERROR && answer != null && !x.state.isAnswered()) {
-            if (x.last != null) {
-                x.last.release();
+            if (x.lastFailure != null) {
+                x.lastFailure.release();
             }
-            x.last = answer.retain();
+            x.lastFailure = answer.retain();
         }
-        told(x, attempt, sentAt, code);
+        reportOutcome(x, attempt, sentAt, code);
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code) {
+    private void reportOutcome(PendingCall x, int attempt, long sentAt, Code code) {
         boolean over = x.state.isAnswered();
-        turns.event(() -> {
+        moduleQueue.event(() -> {
             long now = now();
             module.outcome(now, new Balancer.Outcome(x.id, attempt, code, now - sentAt, over, CacheStatus.NONE, null));
-            turns.action(() -> forget(x));
+            moduleQueue.action(() -> forget(x));
         });
     }
 
@@ -338,12 +351,12 @@
         answer(request, x -> x.client.onFailed(false, x.state.hasBeenSent()));
     }
 
-    private void answer(String request, Consumer<Exchange> how) {
-        turns.action(() -> {
-            Exchange x = open.get(request);
+    private void answer(String request, Consumer<PendingCall> how) {
+        moduleQueue.action(() -> {
+            PendingCall x = openExchanges.get(request);
             if (x != null && !x.state.isAnswered()) {
                 conclude(x);
-                finalAnswer(x, () -> how.accept(x));
+                deliverLastFailureOr(x, () -> how.accept(x));
                 forget(x);
             }
         });
@@ -351,33 +364,35 @@
 
     @Override
     public void cancel(String request, int attempt) {
-        turns.action(() -> {
-            Exchange x = open.get(request);
-            if (x != null && x.out != null && x.state.lastAttempt() == attempt) {
-                x.out.cancel();
+        moduleQueue.action(() -> {
+            PendingCall x = openExchanges.get(request);
+            if (x != null && x.inFlight != null && x.state.lastAttempt() == attempt) {
+                x.inFlight.cancel();
             }
         });
     }
 
     @Override
     public void probe(String server) {
-        log("probes are not part of this");
+        log("ignored the decision module's probe: probes are not supported");
     }
 
     @Override
     public void closeIdle(String server) {
-        turns.action(() -> upstream.closeIdle(server));
+        moduleQueue.action(() -> upstream.closeIdle(server));
     }
 
     @Override
     public void subscribe() {
-        log("the list comes by itself");
+        log("ignored the decision module's subscription: server lists are pushed");
     }
 
     @Override
     public void timer(long at, long token) {
-        turns.action(() -> loop.schedule(
-                () -> turns.event(() -> module.timer(now(), token)), Math.max(0, at - now()), TimeUnit.MICROSECONDS));
+        moduleQueue.action(() -> loop.schedule(
+                () -> moduleQueue.event(() -> module.timer(now(), token)),
+                Math.max(0, at - now()),
+                TimeUnit.MICROSECONDS));
     }
 
     @Override
--- a/src/main/java/gorsemast/dispatch/package-info.java
+++ b/src/main/java/gorsemast/dispatch/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Sending: drives one decision module for each service of the operator's configuration, with the servers that news tells
- * of. The module decides which server, when, whether again, and what is refused; what stands here carries that out and
- * keeps each request's one final answer.
+ * Sends requests to servers. One decision module per configured service, fed with the servers that gossip reports,
+ * decides which server gets a request, when, whether it is retried and what is refused; this package carries that out
+ * and ensures that each request gets exactly one final answer.
  */
 package gorsemast.dispatch;
--- a/src/main/java/gorsemast/proxy/HomeClient.java
+++ b/src/main/java/gorsemast/proxy/HomeClient.java
@@ -141,7 +141,7 @@
         String later = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
         CachedResponse copy = status == OK ? handed(answer, begun) : null;
         if (copy != null) {
-            ending.copy(copy);
+            ending.onResponse(copy);
         } else if (status == UNAVAILABLE && later != null) {
             ending.onRefused(Frontend.micros(later));
         } else if (status == UNAVAILABLE && answer.headers().contains(HomeDialect.IN_HAND)) {
--- a/src/main/java/gorsemast/proxy/ObjectService.java
+++ b/src/main/java/gorsemast/proxy/ObjectService.java
@@ -270,7 +270,7 @@
                         if (answer.status().code() == OK && answer.headers().contains(ServerDialect.EDGE_SEAL)) {
                             HttpHeaders headers = new DefaultHttpHeaders();
                             HopByHopHeaders.copyEndToEnd(answer.headers(), headers);
-                            ending.copy(copy(
+                            ending.onResponse(copy(
                                     OK,
                                     headers,
                                     answer.content(),
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -239,7 +239,7 @@
                             if (here == this && !over[0]) {
                                 over[0] = true;
                                 switch (end) {
-                                    case COPY -> ending.copy(copy(version, question.fetchStartedAt() - age, ttl));
+                                    case COPY -> ending.onResponse(copy(version, question.fetchStartedAt() - age, ttl));
                                     case USELESS -> ending.onUnusable();
                                     case IN_HAND -> ending.onStillFetching();
                                     case REFUSED -> ending.onRefused(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
@@ -329,7 +329,7 @@
             }
             switch (result.code()) {
                 case SERVED ->
-                    ending.copy(copy(result.version(), asked, what.route().ttlMicros()));
+                    ending.onResponse(copy(result.version(), asked, what.route().ttlMicros()));
                 case REFUSED -> ending.onRefused(300_000);
                 case ANSWERED_ERROR -> ending.onUncacheable("500");
                 default -> ending.onFailed();
--- a/src/test/java/gorsemast/cache/FetchInvariantsTest.java
+++ b/src/test/java/gorsemast/cache/FetchInvariantsTest.java
@@ -87,7 +87,7 @@
     void aSecondAnswerIsDroppedAndCounted() {
         ask();
         CachedResponse copy = new CachedResponse(200, List.of(), new byte[1], Set.of(), now, 10_000_000);
-        fetched.get(0).copy(copy);
+        fetched.get(0).onResponse(copy);
         assertThat(fetching.invariants().total()).isZero();
         fetched.get(0).onFailed();
         assertThat(told).isEqualTo(1);
--- a/src/test/java/gorsemast/cache/FetchingTest.java
+++ b/src/test/java/gorsemast/cache/FetchingTest.java
@@ -119,7 +119,7 @@
         ask(what, FetchCoordinator.HOP_CLIENT);
         ask(what, FetchCoordinator.HOP_HOME);
         assertThat(fetched).hasSize(1);
-        fetched.poll().copy(copy());
+        fetched.poll().onResponse(copy());
         assertThat(told).containsExactly("here", "here");
         assertThat(fetching.lookUp(what)).isNotNull();
     }
@@ -129,7 +129,7 @@
         ObjectRequest what = wanted(true);
         ask(what, FetchCoordinator.HOP_CLIENT);
         fetching.applyPurge(new PurgeRequest("p", "", "", "red").toEntry(now));
-        fetched.poll().copy(copy());
+        fetched.poll().onResponse(copy());
         assertThat(told).containsExactly("once");
         assertThat(fetching.lookUp(what)).isNull();
     }
@@ -141,9 +141,9 @@
         fetching.applyPurge(new PurgeRequest("p", "h", what.uri(), "").toEntry(now));
         ask(what, FetchCoordinator.HOP_CLIENT);
         assertThat(fetched).hasSize(2);
-        fetched.pollLast().copy(copy());
+        fetched.pollLast().onResponse(copy());
         assertThat(told).containsExactly("here");
-        fetched.poll().copy(copy());
+        fetched.poll().onResponse(copy());
         assertThat(told).containsExactly("here", "once");
     }
 
@@ -161,7 +161,7 @@
                 .as("as all edges do that have passed the first over, so that they find one copy")
                 .isEqualTo(FetchCoordinator.HOP_HOME);
         assertThat(second.edge).isNotEqualTo(first.edge);
-        second.ending.copy(copy());
+        second.ending.onResponse(copy());
         assertThat(told).containsExactly("here");
         assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(second.edge);
     }
@@ -179,7 +179,7 @@
             assertThat(again.edge).isEqualTo(first.edge);
             first = again;
         }
-        first.ending.copy(copy());
+        first.ending.onResponse(copy());
         assertThat(told).containsExactly("here");
         assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(first.edge);
     }
@@ -201,7 +201,7 @@
         assertThat(told).containsExactly("in hand");
         ask(what, FetchCoordinator.HOP_HOME);
         assertThat(fetched).as("it joins the same fetch").hasSize(1);
-        fetched.poll().copy(copy());
+        fetched.poll().onResponse(copy());
         assertThat(told).containsExactly("in hand", "here");
         pass(2_000_000);
         assertThat(told).as("told once").hasSize(2);
@@ -236,7 +236,7 @@
         assertThat(other.hop)
                 .as("not the servers, of which it has hardly a part")
                 .isEqualTo(FetchCoordinator.HOP_FETCHER);
-        other.ending.copy(copy());
+        other.ending.onResponse(copy());
         assertThat(told).containsExactly("here");
         ask(wanted(false), FetchCoordinator.HOP_FETCHER);
         assertThat(fetched).as("who is asked to fetch does").hasSize(1);
@@ -252,7 +252,7 @@
                 .as("the home asks back, and is not to wait for itself")
                 .hasSize(1);
         ask(what, FetchCoordinator.HOP_CLIENT);
-        fetched.poll().copy(copy());
+        fetched.poll().onResponse(copy());
         assertThat(told).containsExactly("here", "here");
     }
 
--- a/src/test/java/gorsemast/cache/ObjectFleet.java
+++ b/src/test/java/gorsemast/cache/ObjectFleet.java
@@ -418,7 +418,7 @@
                                     if (copy == null) {
                                         answers(HEAD_BYTES, () -> ending.onRefused(retryAfter));
                                     } else {
-                                        answers(bytes(question.object()), () -> ending.copy(copy));
+                                        answers(bytes(question.object()), () -> ending.onResponse(copy));
                                     }
                                 }
 
@@ -452,7 +452,7 @@
                     Set.of(),
                     now,
                     what.route().ttlMicros());
-            after(work + transfer, () -> ending.copy(copy));
+            after(work + transfer, () -> ending.onResponse(copy));
             return true;
         }
 
--- a/src/test/java/gorsemast/proxy/HomeAnswerTest.java
+++ b/src/test/java/gorsemast/proxy/HomeAnswerTest.java
@@ -45,7 +45,7 @@
         HomeRequest question = new HomeRequest("edge", what, 1, 0, 0, 10_000_000, 10_000_000);
         loop.execute(() -> asker.ask(question, new HomeResponseListener<>() {
             @Override
-            public void copy(CachedResponse copy) {
+            public void onResponse(CachedResponse copy) {
                 told.add("copy " + new String(copy.body(), StandardCharsets.US_ASCII));
             }
 
