--- a/src/main/java/gorsemast/proxy/HomeClient.java
+++ b/src/main/java/gorsemast/proxy/HomeClient.java
@@ -147,7 +147,7 @@
         String retryAfter = answer.headers().get(HttpHeaderNames.RETRY_AFTER);
         CachedResponse cachedResponse = status == OK ? toCachedResponse(answer, fetchStartedAt) : null;
         if (cachedResponse != null) {
-            listener.copy(cachedResponse);
+            listener.onResponse(cachedResponse);
         } else if (status == SERVICE_UNAVAILABLE && retryAfter != null) {
             listener.onRefused(Frontend.parseSeconds(retryAfter));
         } else if (status == SERVICE_UNAVAILABLE && answer.headers().contains(HomeDialect.STILL_FETCHING_HEADER)) {
--- a/src/main/java/gorsemast/proxy/ObjectService.java
+++ b/src/main/java/gorsemast/proxy/ObjectService.java
@@ -275,7 +275,7 @@
                         if (answer.status().code() == OK && answer.headers().contains(ServerDialect.EDGE_SEAL)) {
                             HttpHeaders headers = new DefaultHttpHeaders();
                             HopByHopHeaders.copyEndToEnd(answer.headers(), headers);
-                            listener.copy(toCachedResponse(
+                            listener.onResponse(toCachedResponse(
                                     OK,
                                     headers,
                                     answer.content(),
--- a/src/test/java/gorsemast/proxy/HomeAnswerTest.java
+++ b/src/test/java/gorsemast/proxy/HomeAnswerTest.java
@@ -45,7 +45,7 @@
         HomeRequest homeRequest = new HomeRequest("edge", object, 1, 0, 0, 10_000_000, 10_000_000);
         loop.execute(() -> homeClient.request(homeRequest, new HomeResponseListener<>() {
             @Override
-            public void copy(CachedResponse copy) {
+            public void onResponse(CachedResponse copy) {
                 outcomes.add("copy " + new String(copy.body(), StandardCharsets.US_ASCII));
             }
 
