--- a/src/main/java/anisebend/net/Discovery.java
+++ b/src/main/java/anisebend/net/Discovery.java
@@ -37,30 +37,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The list of cache nodes as this proxy knows it, and the calls that keep it fresh. When to ask again after
- * a failed call is the module's to say, by {@link #subscribe}; a watch that goes well goes on by itself.
+ * Keeps the list of cache nodes up to date with the discovery service. The decision module decides when to retry after
+ * a failed request, by {@link #subscribe}; a watch without failures continues by itself.
  */
 final class Discovery {
     static final String LIST = "/registry/instances";
-    private static final int MAX_ANSWER = 4 << 20;
+    private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
-    /** A cache node: where to dial it, and when it last started, in Unix milliseconds, 0 for long ago. */
+    /** A cache node: its address, and when it last started, in Unix milliseconds, 0 for long ago. */
     record Node(String host, InetSocketAddress dial, double bornMillis, boolean ready) implements Upstream.Peer {
-        /** Whether this is the same process at the same address; a record's own equals is slow to be made up. */
+        /** Whether this is the same process at the same address; the generated equals is slow on its first call. */
         boolean same(Node other) {
             return bornMillis == other.bornMillis && dial.equals(other.dial);
         }
     }
 
-    /** Told of each answer as soon as it is read, and of each call that failed. */
+    /** Receives the changes of the list and the failures of requests. */
     interface Listener {
-        void news(ListKind kind, List<Server> entries);
+        void updated(ListKind kind, List<Server> entries);
 
-        /** Connections to this node are of no more use: it drains, has gone or has started anew. */
+        /** Connections to this node are unusable: it drains, has gone or has restarted. */
         void unusable(String host);
 
-        /** The node has left the list; its id never comes back. */
-        void forgotten(String host);
+        /** The node has left the list; its id is never reused. */
+        void removed(String host);
     }
 
     private final EventLoop loop;
@@ -70,11 +70,11 @@
     private final Listener listener;
     private final Bootstrap bootstrap;
     private final Map<String, Node> nodes = new HashMap<>();
-    /** Each entry as it was told, in discovery's form; null where nobody asks for that. */
-    private Map<String, Map<String, Object>> told;
+    /** Each entry as received, in discovery's format, by host; null unless entries are retained. */
+    private Map<String, Map<String, Object>> retainedEntries;
 
     private Channel channel;
-    private Call call;
+    private PendingCall call;
 
     Discovery(
             EventLoop loop,
@@ -91,31 +91,31 @@
         this.bootstrap = Upstream.client(loop, Math.max(connectMillis, ListWatch.GRACE_MICROS / 1000));
     }
 
-    /** Keeps what is told so that others can be told the same; asked for before it begins. */
-    void retain() {
-        told = new TreeMap<>();
+    /** Keeps the entries as received so that they can be passed on; to be called before {@link #initialize}. */
+    void retainEntries() {
+        retainedEntries = new TreeMap<>();
     }
 
-    /** Whether discovery itself has told a whole list. */
+    /** Whether the discovery service itself has sent a whole list. */
     boolean listed() {
         return watch.listed();
     }
 
-    /** How long ago discovery last told or confirmed the list, in microseconds; negative for never. */
+    /** Time since discovery last sent or confirmed the list, in microseconds; negative for never. */
     long age() {
         return watch.age(now());
     }
 
-    /** The entries as they were told, by their hosts; empty unless they are retained. */
-    Map<String, Map<String, Object>> told() {
-        return told == null ? Map.of() : told;
+    /** The entries as received, by host; empty unless they are retained. */
+    Map<String, Map<String, Object>> entries() {
+        return retainedEntries == null ? Map.of() : retainedEntries;
     }
 
     /**
-     * Takes over a list that another proxy has, unless discovery itself has told one. What is known here to drain goes on
-     * draining, as long as it is the same start of the same node.
+     * Adopts another proxy's list, unless discovery itself has sent one. A node that is known here to drain stays
+     * draining while it is the same incarnation.
      */
-    void learn(Map<String, Object> list) throws IOException {
+    void adopt(Map<String, Object> list) throws IOException {
         if (watch.listed()) {
             return;
         }
@@ -123,23 +123,26 @@
         for (Object item : ProxyConfig.list(list, "hosts")) {
             Map<String, Object> entry = new HashMap<>(ProxyConfig.asMap(item, "hosts"));
             Node known = nodes.get(ProxyConfig.string(entry, "host"));
-            double born = entry.get("born_ms") == null ? 0 : ProxyConfig.number(entry, "born_ms");
-            if (known != null && !known.ready() && known.bornMillis() == born && "Ready".equals(entry.get("health"))) {
+            double startedMillis = entry.get("born_ms") == null ? 0 : ProxyConfig.number(entry, "born_ms");
+            if (known != null
+                    && !known.ready()
+                    && known.bornMillis() == startedMillis
+                    && "Ready".equals(entry.get("health"))) {
                 entry.put("health", "Terminating");
             }
             hosts.add(entry);
         }
-        Map<String, Object> kept = new HashMap<>(list);
-        kept.put("hosts", hosts);
-        watch.told(apply(kept, ListKind.CACHED));
+        Map<String, Object> adopted = new HashMap<>(list);
+        adopted.put("hosts", hosts);
+        watch.told(apply(adopted, ListKind.CACHED));
     }
 
-    /** The version of the list that is known. */
+    /** The version of the present list. */
     long version() {
         return watch.version();
     }
 
-    /** How many cache nodes are listed. */
+    /** The number of listed cache nodes. */
     int size() {
         return nodes.size();
     }
@@ -148,42 +151,42 @@
         return nodes.get(host);
     }
 
-    /** Whether the node, as started when {@code node} was read, may be sent anything new. */
+    /** Whether new requests may be sent to this incarnation of the node. */
     boolean ready(Node node) {
         Node present = nodes.get(node.host());
         return present != null && present.ready() && present.same(node);
     }
 
-    /** Starts from the list that the configuration brought. */
-    void begin(Map<String, Object> known) throws IOException {
+    /** Sets the initial list from the configuration. */
+    void initialize(Map<String, Object> known) throws IOException {
         watch.told(apply(known, ListKind.CACHED));
     }
 
-    /** Asks for the list and for what changes from now on; a watch that is out already goes on. */
+    /** Requests the list and its changes from now on; a watch in progress continues. */
     void subscribe() {
-        ListWatch.Call wanted = watch.subscribe();
-        if (wanted != null) {
-            start(wanted);
+        ListWatch.Call next = watch.subscribe();
+        if (next != null) {
+            startCall(next);
         }
     }
 
     /**
-     * Turns to another discovery at once, whatever call or back-off is pending: the present one is about to end.
-     * The nodes stay until it has told the whole list, as nothing is known against them.
+     * Switches to another discovery address immediately, whatever request or backoff is pending: the present service is
+     * about to end. The nodes stay until the new one has sent the whole list, as they are presumably still valid.
      */
     void redirect(InetSocketAddress other) {
         if (other.equals(address)) {
             return;
         }
         address = other;
-        hangUp();
-        start(watch.redirected());
+        closeConnection();
+        startCall(watch.redirected());
     }
 
-    /** Ends whatever call is out and tells nobody. */
-    void hangUp() {
+    /** Cancels the request in progress and closes the connection, without notifying the listener. */
+    void closeConnection() {
         if (call != null) {
-            call.limit.cancel(false);
+            call.timeout.cancel(false);
             call = null;
         }
         if (channel != null) {
@@ -196,46 +199,45 @@
         return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
     }
 
-    private void start(ListWatch.Call wanted) {
-        call = new Call(wanted.limitMicros());
-        call.start(
-                wanted.whole() ? LIST : LIST + "?after=" + wanted.after() + "&wait_ms=" + wanted.waitMicros() / 1000);
+    private void startCall(ListWatch.Call next) {
+        call = new PendingCall(next.limitMicros());
+        call.start(next.whole() ? LIST : LIST + "?after=" + next.after() + "&wait_ms=" + next.waitMicros() / 1000);
     }
 
-    private void answered(FullHttpResponse answer) {
-        ListWatch.Call following;
+    private void handleResponse(FullHttpResponse response) {
+        ListWatch.Call next;
         try {
-            if (answer.decoderResult().isFailure() || answer.status().code() != 200) {
-                throw new IOException("discovery answers " + answer.status().code());
+            if (response.decoderResult().isFailure() || response.status().code() != 200) {
+                throw new IOException("discovery service responded with status "
+                        + response.status().code());
             }
-            Map<String, Object> list = ProxyConfig.parse(ByteBufUtil.getBytes(answer.content()));
+            Map<String, Object> list = ProxyConfig.parse(ByteBufUtil.getBytes(response.content()));
             ListKind kind = Boolean.TRUE.equals(list.get("whole")) ? ListKind.FULL : ListKind.CHANGES;
             if (!watch.answers(kind == ListKind.CHANGES)) {
-                throw new IOException("discovery answers a call for the whole list with changes");
+                throw new IOException("discovery service responded with changes to a request for the whole list");
             }
-            following = watch.taken(now(), apply(list, kind));
+            next = watch.taken(now(), apply(list, kind));
         } catch (IOException | RuntimeException e) {
-            failed(); // whatever is odd about it, the watch must go on
+            handleFailure(); // the watch must go on, whatever is wrong with the response
             return;
         }
-        start(following);
+        startCall(next);
     }
 
-    private void failed() {
-        hangUp();
+    private void handleFailure() {
+        closeConnection();
         watch.failed();
-        listener.news(ListKind.FAILED, List.of());
+        listener.updated(ListKind.FAILED, List.of());
     }
 
     /**
-     * Reads the whole answer before any of it counts, so that a malformed one leaves the list as it was. Returns its
-     * version.
+     * Applies a list and returns its version. It is parsed completely first, so that a malformed one changes nothing.
      */
     private long apply(Map<String, Object> list, ListKind kind) throws IOException {
-        long seq = (long) ProxyConfig.number(list, "seq");
+        long version = (long) ProxyConfig.number(list, "seq");
         List<Server> servers = new ArrayList<>();
-        List<Node> changed = new ArrayList<>();
-        Map<String, Map<String, Object>> entries = told == null ? null : new HashMap<>();
+        List<Node> changedNodes = new ArrayList<>();
+        Map<String, Map<String, Object>> entries = retainedEntries == null ? null : new HashMap<>();
         Set<String> present = new HashSet<>();
         for (Object item : ProxyConfig.list(list, "hosts")) {
             Map<String, Object> entry = ProxyConfig.asMap(item, "hosts");
@@ -245,9 +247,9 @@
                         case "Ready" -> State.READY;
                         case "Terminating" -> State.DRAINING;
                         case "Gone" -> State.GONE;
-                        default -> throw new IOException("unknown health of " + host);
+                        default -> throw new IOException("unknown health value of host " + host);
                     };
-            double born = entry.get("born_ms") == null ? 0 : ProxyConfig.number(entry, "born_ms");
+            double startedMillis = entry.get("born_ms") == null ? 0 : ProxyConfig.number(entry, "born_ms");
             double share = entry.get("share") == null ? 1 : ProxyConfig.number(entry, "share");
             int cell = entry.get("block") == null ? 0 : (int) ProxyConfig.number(entry, "block");
             present.add(host);
@@ -255,10 +257,13 @@
                 entries.put(host, entry);
             }
             if (state == State.GONE) {
-                changed.add(new Node(host, null, born, false));
+                changedNodes.add(new Node(host, null, startedMillis, false));
             } else {
-                changed.add(new Node(
-                        host, ProxyConfig.address(ProxyConfig.string(entry, "dial")), born, state == State.READY));
+                changedNodes.add(new Node(
+                        host,
+                        ProxyConfig.address(ProxyConfig.string(entry, "dial")),
+                        startedMillis,
+                        state == State.READY));
             }
             servers.add(new Server(
                     host,
@@ -267,58 +272,58 @@
                     cell,
                     state,
                     share,
-                    (long) (born * 1000)));
+                    (long) (startedMillis * 1000)));
         }
         if (kind != ListKind.CHANGES) {
-            List<String> gone = nodes.keySet().stream()
+            List<String> delisted = nodes.keySet().stream()
                     .filter(host -> !present.contains(host))
                     .toList();
-            gone.forEach(this::forget);
+            delisted.forEach(this::removeNode);
         }
         if (entries != null) {
-            told.putAll(entries);
+            retainedEntries.putAll(entries);
         }
-        for (Node node : changed) {
+        for (Node node : changedNodes) {
             if (node.dial() == null) {
-                forget(node.host());
+                removeNode(node.host());
                 continue;
             }
-            Node before = nodes.put(node.host(), node);
-            if (before != null && (before.ready() != node.ready() || !before.same(node))) {
+            Node previous = nodes.put(node.host(), node);
+            if (previous != null && (previous.ready() != node.ready() || !previous.same(node))) {
                 listener.unusable(node.host());
             }
         }
-        listener.news(kind, servers);
-        return seq;
+        listener.updated(kind, servers);
+        return version;
     }
 
-    private void forget(String host) {
+    private void removeNode(String host) {
         nodes.remove(host);
-        if (told != null) {
-            told.remove(host);
+        if (retainedEntries != null) {
+            retainedEntries.remove(host);
         }
         listener.unusable(host);
-        listener.forgotten(host);
+        listener.removed(host);
     }
 
-    /** A zone's or kind's number, by its name or, where none are named, as given. */
+    /** The number of a zone or kind: its index by name or, where no names are configured, the given number. */
     private static int index(List<String> names, Object value) throws IOException {
         if (value == null) {
             return 0;
         }
-        int at = value instanceof Double number ? number.intValue() : names.indexOf(value);
-        if (at < 0) {
-            throw new IOException("unknown name " + value);
+        int index = value instanceof Double number ? number.intValue() : names.indexOf(value);
+        if (index < 0) {
+            throw new IOException("unknown zone or class " + value);
         }
-        return at;
+        return index;
     }
 
-    /** One call; its channel is kept for the next. */
-    private final class Call {
-        private final ScheduledFuture<?> limit;
+    /** A request to the discovery service; its channel is reused for the next. */
+    private final class PendingCall {
+        private final ScheduledFuture<?> timeout;
 
-        Call(long limitMicros) {
-            limit = loop.schedule(this::fail, limitMicros, TimeUnit.MICROSECONDS);
+        PendingCall(long limitMicros) {
+            timeout = loop.schedule(this::fail, limitMicros, TimeUnit.MICROSECONDS);
         }
 
         void start(String uri) {
@@ -336,7 +341,9 @@
                         protected void initChannel(Channel ch) {
                             ch.pipeline()
                                     .addLast(
-                                            new HttpClientCodec(), new HttpObjectAggregator(MAX_ANSWER), new Answers());
+                                            new HttpClientCodec(),
+                                            new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                            new ResponseHandler());
                         }
                     })
                     .connect(address);
@@ -360,25 +367,25 @@
 
         void fail() {
             if (call == this) {
-                failed();
+                handleFailure();
             }
         }
     }
 
-    /** What comes back on the present channel. */
-    private final class Answers extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** Handles the responses on the present channel. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
             if (ctx.channel() != channel || call == null) {
                 ctx.close();
                 return;
             }
-            call.limit.cancel(false);
-            if (!HttpUtil.isKeepAlive(answer)) {
+            call.timeout.cancel(false);
+            if (!HttpUtil.isKeepAlive(response)) {
                 channel = null;
                 ctx.close();
             }
-            answered(answer);
+            handleResponse(response);
         }
 
         @Override
--- a/src/main/java/anisebend/net/Engine.java
+++ b/src/main/java/anisebend/net/Engine.java
@@ -35,36 +35,37 @@
 import java.util.function.LongConsumer;
 
 /**
- * Drives the module: its events come from the sockets, its actions go to them. It keeps the timers and the
- * single final answer and decides nothing. The module is never entered while it is running: what an action
- * brings about waits until the event before it is done. All of it runs on the one event loop.
+ * Connects the decision module to the network: turns socket events into module events and carries out the module's
+ * actions. It keeps the timers and ensures a single final answer per request, and takes no decisions. The module is
+ * never re-entered: events that an action causes are queued until the present event is done. Everything runs on one
+ * event loop.
  */
 final class Engine implements Balancer.Actions {
     /**
-     * The module's deadline comes this long before the client's, whose clock began before ours: from an
-     * answer to its client the bench measured 6 to 10 ms at the 99th percentile.
+     * How long the module's deadline lies before the client's, whose clock started before ours. It takes 6 to 10 ms at
+     * the 99th percentile until a response reaches its client.
      */
-    private static final long MARGIN_MICROS = 10_000;
-    /** What the module has left unanswered fails this long before the client's deadline. */
+    private static final long DEADLINE_MARGIN_MICROS = 10_000;
+    /** How long before the client's deadline a request fails that the module has left unanswered. */
     private static final long BACKSTOP_MICROS = 5_000;
 
-    /** How often the loop's lateness is looked at. */
-    private static final long TICK_MICROS = 40_000;
+    /** How often the event loop's lateness is measured. */
+    private static final long LATENESS_TICK_MICROS = 40_000;
 
-    /** Where one request's single final answer goes. */
+    /** Receives a request's single final answer. */
     interface Client {
-        /** The answer's content is only lent. */
+        /** A complete response; its content is valid only during the call. */
         void served(FullHttpResponse answer);
 
-        /** Instead: an answer that is passed on as it comes; the caller is told of each part. */
-        ResponseSink begins(HttpResponse head, long length, ResponseSink.FlowControl flow);
+        /** A streamed response instead of a complete one; the returned sink receives its parts. */
+        ResponseSink begins(HttpResponse head, long length, ResponseSink.FlowControl flowControl);
 
         void refused(long retryAfterMicros);
 
         void failed();
     }
 
-    /** A client's request, read and checked; {@code bodyDone} runs once, when its body has been let go. */
+    /** A client's validated request; {@code bodyDone} runs once, when its body has been released. */
     record Call(
             HttpMethod method,
             String uri,
@@ -77,20 +78,20 @@
             long arrival,
             long waitMicros,
             Runnable bodyDone) {
-        /** Nothing of it is needed any more. */
+        /** Releases the body, which is no longer needed. */
         private void release() {
             body.release();
             bodyDone.run();
         }
     }
 
-    /** A request from its arrival until it is answered and nothing of it is out. */
+    /** The state of a request from its arrival until it is answered and has no attempt in progress. */
     static final class Exchange {
         private final String id;
         private final Call call;
         private final Client client;
         private ScheduledFuture<?> backstop;
-        private Upstream.Attempt out;
+        private Upstream.Attempt currentAttempt;
         private int attempts;
         private boolean answered;
 
@@ -108,35 +109,35 @@
     private final EventLoop loop;
     private List<Balancer.RequestClass> classes;
     private Balancer.Settings settings;
-    /** How many proxies share what is bounded over all; 0 for as many as the settings say. */
+    /** Number of proxies that share the overall limits; 0 to use the number in the settings. */
     private int sharedBy;
 
-    private boolean begun;
-    private final Consumer<String> operator;
+    private boolean started;
+    private final Consumer<String> operatorLog;
     private final Balancer module = new BalancingPolicy(this);
     private final Upstream upstream;
     private final Discovery discovery;
-    private final Map<String, Exchange> open = new HashMap<>();
-    /** Ids of the unanswered requests, as their clients know them. */
-    private final Set<String> ids = new HashSet<>();
+    private final Map<String, Exchange> exchanges = new HashMap<>();
+    /** Correlation ids of the unanswered requests. */
+    private final Set<String> correlationIds = new HashSet<>();
 
-    private final RunToCompletionQueue turns = new RunToCompletionQueue(this::fault);
-    /** The module's clock: Unix time in microseconds at the start, and monotonic from there. */
+    private final RunToCompletionQueue eventQueue = new RunToCompletionQueue(this::logFault);
+    /** Start of the module's clock: Unix time in microseconds at the start, monotonic from there on. */
     private final long startMicros = System.currentTimeMillis() * 1000;
 
     private final long startNanos = System.nanoTime();
-    /** Null until it is watched. */
+    /** Null until {@link #watchLateness} is called. */
     private Lateness lateness;
 
     private long sequence;
-    /** Requests taken, served, refused, failed and left by their clients, since the start. */
+    /** Requests taken, served, refused, failed and abandoned by their clients, since the start. */
     private final long[] counts = new long[5];
 
     Engine(EventLoop loop, ProxyConfig config, int maxConnections, Consumer<String> operator) {
         this.loop = loop;
         this.settings = config.settings();
         this.classes = settings.classes();
-        this.operator = operator;
+        this.operatorLog = operator;
         this.discovery = new Discovery(
                 loop,
                 config.discovery(),
@@ -145,11 +146,11 @@
                 config.connectTimeoutMillis(),
                 new Discovery.Listener() {
                     @Override
-                    public void news(ListKind kind, List<Balancer.Server> entries) {
+                    public void updated(ListKind kind, List<Balancer.Server> entries) {
                         if (kind == ListKind.FAILED) {
-                            log("discovery call failed");
+                            log("request to the discovery service failed");
                         }
-                        turns.event(() -> module.servers(now(), kind, entries));
+                        eventQueue.event(() -> module.servers(now(), kind, entries));
                     }
 
                     @Override
@@ -158,7 +159,7 @@
                     }
 
                     @Override
-                    public void forgotten(String host) {
+                    public void removed(String host) {
                         upstream.removeNode(host);
                     }
                 });
@@ -172,109 +173,112 @@
                 config.seed());
     }
 
-    /** Starts the module; a setting or list that can't be worked with is thrown back. */
+    /** Starts the module; throws on an unusable setting or list. */
     void begin(ProxyConfig config) throws IOException {
-        attempt(() -> module.start(now(), config.seed(), shared(config.settings())));
-        begun = true;
-        discovery.begin(config.known());
+        runOrThrow(() -> module.start(now(), config.seed(), withProxyCount(config.settings())));
+        started = true;
+        discovery.initialize(config.known());
     }
 
-    private void attempt(Runnable event) {
-        AtomicReference<RuntimeException> refused = new AtomicReference<>();
-        turns.event(() -> {
+    private void runOrThrow(Runnable event) {
+        AtomicReference<RuntimeException> rejection = new AtomicReference<>();
+        eventQueue.event(() -> {
             try {
                 event.run();
             } catch (IllegalArgumentException e) {
-                refused.set(e);
+                rejection.set(e);
             }
         });
-        if (refused.get() != null) {
-            throw refused.get();
+        if (rejection.get() != null) {
+            throw rejection.get();
         }
     }
 
-    /** Changes the bound on connections to cache nodes. */
-    void limit(int maxConnections) {
+    /** Changes the maximum number of connections to cache nodes. */
+    void setConnectionLimit(int maxConnections) {
         upstream.setLimit(maxConnections);
     }
 
-    /** Takes over what a new configuration may change in service; throws, and changes nothing, what can't be worked with. */
+    /** Applies what may change at runtime; throws and changes nothing if the configuration is unusable. */
     void reconfigure(ProxyConfig config) {
-        Balancer.Settings next = shared(config.settings());
-        attempt(() -> module.reconfigure(now(), next));
+        Balancer.Settings next = withProxyCount(config.settings());
+        runOrThrow(() -> module.reconfigure(now(), next));
         settings = config.settings();
         classes = settings.classes();
         discovery.redirect(config.discovery());
     }
 
-    /** So many proxies share what is bounded over all of them; the settings' number is what holds until this is told. */
+    /** Sets the number of proxies that share the overall limits; until the first call that of the settings holds. */
     void sharedBy(int proxies) {
         if (proxies != sharedBy) {
             sharedBy = proxies;
-            if (begun) {
-                Balancer.Settings next = shared(settings);
-                attempt(() -> module.reconfigure(now(), next));
+            if (started) {
+                Balancer.Settings next = withProxyCount(settings);
+                runOrThrow(() -> module.reconfigure(now(), next));
             }
         }
     }
 
-    private Balancer.Settings shared(Balancer.Settings s) {
-        return sharedBy == 0 || sharedBy == s.balancers()
-                ? s
+    private Balancer.Settings withProxyCount(Balancer.Settings base) {
+        return sharedBy == 0 || sharedBy == base.balancers()
+                ? base
                 : new Balancer.Settings(
                         sharedBy,
-                        s.zone(),
-                        s.originKind(),
-                        s.classes(),
-                        s.tenants(),
-                        s.overShareFactor(),
-                        s.maxAttempts(),
-                        s.mayCancel(),
-                        s.mayProbe(),
-                        s.retryAfter(),
-                        s.maxRetryAfter(),
-                        s.listMustBeAsked(),
-                        s.listAskWithin(),
-                        s.coldShare(),
-                        s.coldTime(),
-                        s.freeResends(),
-                        s.resendShare(),
-                        s.resendSpan());
-    }
-
-    /** The list and the calls for it. */
+                        base.zone(),
+                        base.originKind(),
+                        base.classes(),
+                        base.tenants(),
+                        base.overShareFactor(),
+                        base.maxAttempts(),
+                        base.mayCancel(),
+                        base.mayProbe(),
+                        base.retryAfter(),
+                        base.maxRetryAfter(),
+                        base.listMustBeAsked(),
+                        base.listAskWithin(),
+                        base.coldShare(),
+                        base.coldTime(),
+                        base.freeResends(),
+                        base.resendShare(),
+                        base.resendSpan());
+    }
+
+    /** The list of cache nodes and its updates. */
     Discovery discovery() {
         return discovery;
     }
 
-    /** Whether no request is held, nor anything kept for one. */
+    /** Whether no request is open and no state of one is kept. */
     boolean idle() {
-        return open.isEmpty() && ids.isEmpty() && turns.idle();
+        return exchanges.isEmpty() && correlationIds.isEmpty() && eventQueue.idle();
     }
 
-    /** Lets go of all connections; nothing may be asked of it any more. */
+    /** Closes all connections; the engine must not be used afterwards. */
     void stop() {
-        giveUpAll();
-        discovery.hangUp();
+        failAllUnanswered();
+        discovery.closeConnection();
         upstream.closeAllIdle();
     }
 
-    /** From now on the loop's lateness is known, and {@code each} is told of it at every tick. */
+    /** Starts measuring the event loop's lateness, and passes it to {@code each} at every tick. */
     void watchLateness(LongConsumer each) {
-        lateness = new Lateness(now(), TICK_MICROS);
+        lateness = new Lateness(now(), LATENESS_TICK_MICROS);
         loop.scheduleWithFixedDelay(
-                () -> each.accept(lateness.tick(now())), TICK_MICROS, TICK_MICROS, TimeUnit.MICROSECONDS);
+                () -> each.accept(lateness.tick(now())),
+                LATENESS_TICK_MICROS,
+                LATENESS_TICK_MICROS,
+                TimeUnit.MICROSECONDS);
     }
 
-    /** What the module believes. Not to be asked while an event is being worked on. */
+    /** The module's present state. Must not be called while an event is processed. */
     Balancer.View view() {
         return module.view(now());
     }
 
-    /** Appends what it holds and believes, as figures. Not to be asked while an event is being worked on. */
-    void figures(StringBuilder to) {
+    /** Appends the metrics. Must not be called while an event is processed. */
+    void writeMetrics(StringBuilder to) {
         Counters.counter(to, "attempts", upstream.attemptsWritten());
-        Counters.gauge(to, "in_flight", ids.size());
+        Counters.gauge(to, "in_flight", correlationIds.size());
         Counters.gauge(to, "cache_nodes_known", discovery.size());
         Counters.gauge(
                 to,
@@ -289,7 +293,7 @@
         return counts.clone();
     }
 
-    /** What passed on the sockets to a node; null where nothing did. */
+    /** Traffic on the connections to a node; null where there was none. */
     Traffic traffic(String host) {
         return upstream.traffic(host);
     }
@@ -298,142 +302,156 @@
         return startMicros + (System.nanoTime() - startNanos) / 1000;
     }
 
-    /** Takes a request, and its body's reference; null where another's request of this id is unanswered. */
+    /** Takes a request and its body's reference; null if another request with this correlation id is unanswered. */
     Exchange take(Call call, Client client) {
-        if (!ids.add(call.correlationId())) {
+        if (!correlationIds.add(call.correlationId())) {
             call.release();
             return null;
         }
-        Exchange x = new Exchange("r" + sequence++, call, client);
+        Exchange exchange = new Exchange("r" + sequence++, call, client);
         counts[0]++;
-        open.put(x.id, x);
+        exchanges.put(exchange.id, exchange);
         long deadline = call.arrival() + call.waitMicros();
-        x.backstop = loop.schedule(() -> giveUp(x), deadline - BACKSTOP_MICROS - now(), TimeUnit.MICROSECONDS);
+        exchange.backstop = loop.schedule(
+                () -> failUnanswered(exchange), deadline - BACKSTOP_MICROS - now(), TimeUnit.MICROSECONDS);
         Balancer.Request request = new Balancer.Request(
-                x.id,
+                exchange.id,
                 call.requestClass(),
                 call.tenant(),
                 call.key(),
-                deadline - MARGIN_MICROS,
+                deadline - DEADLINE_MARGIN_MICROS,
                 call.method().equals(HttpMethod.PUT));
-        turns.event(() -> {
+        eventQueue.event(() -> {
             try {
                 module.request(now(), request);
             } catch (RuntimeException e) {
-                fault(e);
-                fail(x.id);
+                logFault(e);
+                fail(exchange.id);
             }
         });
-        return x;
+        return exchange;
     }
 
-    /** The client has gone: nothing more is owed, and nothing more goes out. */
-    void gone(Exchange x) {
-        if (!x.answered) {
+    /** The client has disconnected: the request needs no answer and no further attempts. */
+    void gone(Exchange exchange) {
+        if (!exchange.answered) {
             counts[4]++;
-            settle(x);
-            abandon(x);
+            finishForClient(exchange);
+            reportAbandoned(exchange);
         }
     }
 
-    /** Fails what the module has left unanswered. */
-    private void giveUp(Exchange x) {
-        if (!x.answered) {
-            settle(x);
+    /** Fails a request that the module has left unanswered. */
+    private void failUnanswered(Exchange exchange) {
+        if (!exchange.answered) {
+            finishForClient(exchange);
             counts[3]++;
-            x.client.failed();
-            abandon(x);
+            exchange.client.failed();
+            reportAbandoned(exchange);
         }
     }
 
-    /** It stays known until the module has heard, so that what that has sent meanwhile still gets an outcome. */
-    private void abandon(Exchange x) {
-        turns.event(() -> {
-            module.abandoned(now(), x.id);
-            turns.action(() -> forget(x));
+    /** Keeps the exchange until the module is informed, so that attempts it sent meanwhile still get an outcome. */
+    private void reportAbandoned(Exchange exchange) {
+        eventQueue.event(() -> {
+            module.abandoned(now(), exchange.id);
+            eventQueue.action(() -> releaseIfDone(exchange));
         });
     }
 
-    /** Fails all that is unanswered, as the process is about to be killed. */
-    void giveUpAll() {
-        List.copyOf(open.values()).forEach(this::giveUp);
+    /** Fails all unanswered requests, as the process is about to be killed. */
+    void failAllUnanswered() {
+        List.copyOf(exchanges.values()).forEach(this::failUnanswered);
     }
 
-    private void fault(RuntimeException e) {
-        StackTraceElement[] at = e.getStackTrace();
-        log("fault: " + e + (at.length > 0 ? " at " + at[0] : ""));
+    private void logFault(RuntimeException e) {
+        StackTraceElement[] frames = e.getStackTrace();
+        log("fault: " + e + (frames.length > 0 ? " at " + frames[0] : ""));
     }
 
-    /** Ends a request for the client; what is still out for it is closed. */
-    private void settle(Exchange x) {
-        ids.remove(x.call.correlationId());
-        conclude(x);
+    /** Ends a request for its client and cancels the attempt in progress. */
+    private void finishForClient(Exchange exchange) {
+        correlationIds.remove(exchange.call.correlationId());
+        markAnswered(exchange);
     }
 
-    private static void conclude(Exchange x) {
-        x.answered = true;
-        x.backstop.cancel(false);
-        if (x.out != null) {
-            x.out.cancel();
+    private static void markAnswered(Exchange exchange) {
+        exchange.answered = true;
+        exchange.backstop.cancel(false);
+        if (exchange.currentAttempt != null) {
+            exchange.currentAttempt.cancel();
         }
     }
 
-    private void forget(Exchange x) {
-        if (x.answered && x.out == null && open.remove(x.id) != null) {
-            x.call.release();
+    private void releaseIfDone(Exchange exchange) {
+        if (exchange.answered && exchange.currentAttempt == null && exchanges.remove(exchange.id) != null) {
+            exchange.call.release();
         }
     }
 
-    // ---- actions of the module, carried out after it has returned
+    // ---- the module's actions, carried out after it has returned
 
     @Override
     public void send(String request, String server, long until) {
-        turns.action(() -> sendNow(request, server, until));
+        eventQueue.action(() -> startAttempt(request, server, until));
     }
 
-    private void sendNow(String request, String server, long until) {
-        Exchange x = open.get(request); // known until the module has heard that it is over
-        int attempt = x.attempts++;
+    private void startAttempt(String request, String server, long until) {
+        Exchange exchange = exchanges.get(request); // present until the module is informed that it has ended
+        int attempt = exchange.attempts++;
         long sentAt = now();
         Discovery.Node node = discovery.node(server);
-        long wait = Math.min(until, x.call.arrival() + x.call.waitMicros()) - sentAt;
-        if (x.out != null) {
-            x.out.cancel(); // never two at once, whatever the module says
+        long timeLeftMicros = Math.min(until, exchange.call.arrival() + exchange.call.waitMicros()) - sentAt;
+        if (exchange.currentAttempt != null) {
+            exchange.currentAttempt.cancel(); // never two attempts at once, whatever the module decides
         }
-        if (x.answered || node == null || wait <= 0) {
-            ended(x, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE, null);
+        if (exchange.answered || node == null || timeLeftMicros <= 0) {
+            completeAttempt(exchange, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE, null);
             return;
         }
-        Upstream.Attempt[] mine = new Upstream.Attempt[1];
-        boolean[] over = new boolean[1];
-        mine[0] = upstream.send(node, message(x.call, node, wait), wait, once(x.call), new Upstream.AttemptListener() {
-            @Override
-            public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
-                over[0] = true;
-                if (x.out == mine[0]) {
-                    x.out = null;
-                }
-                Engine.this.ended(x, attempt, sentAt, code, note, answer);
-            }
+        Upstream.Attempt[] ownAttempt = new Upstream.Attempt[1];
+        boolean[] finished = new boolean[1];
+        ownAttempt[0] = upstream.send(
+                node,
+                upstreamRequest(exchange.call, node, timeLeftMicros),
+                timeLeftMicros,
+                mustSendOnce(exchange.call),
+                new Upstream.AttemptListener() {
+                    @Override
+                    public void ended(Code code, CacheStatus cacheStatus, FullHttpResponse answer) {
+                        finished[0] = true;
+                        if (exchange.currentAttempt == ownAttempt[0]) {
+                            exchange.currentAttempt = null;
+                        }
+                        Engine.this.completeAttempt(exchange, attempt, sentAt, code, cacheStatus, answer);
+                    }
 
-            @Override
-            public ResponseSink streaming(
-                    CacheStatus note, HttpResponse head, long length, ResponseSink.FlowControl flow) {
-                over[0] = true;
-                x.out = null;
-                return Engine.this.begins(x, attempt, sentAt, note, new Passing(x, head, length, flow));
-            }
-        });
-        if (!over[0]) {
-            x.out = mine[0];
+                    @Override
+                    public ResponseSink streaming(
+                            CacheStatus cacheStatus,
+                            HttpResponse head,
+                            long length,
+                            ResponseSink.FlowControl flowControl) {
+                        finished[0] = true;
+                        exchange.currentAttempt = null;
+                        return Engine.this.beginStreaming(
+                                exchange,
+                                attempt,
+                                sentAt,
+                                cacheStatus,
+                                new StreamedResponse(exchange, head, length, flowControl));
+                    }
+                });
+        if (!finished[0]) {
+            exchange.currentAttempt = ownAttempt[0];
         }
     }
 
-    private boolean once(Call call) {
+    private boolean mustSendOnce(Call call) {
         return classes.get(call.requestClass()).effect() == Balancer.Effect.UNSAFE;
     }
 
-    private static FullHttpRequest message(Call call, Discovery.Node node, long wait) {
+    private static FullHttpRequest upstreamRequest(Call call, Discovery.Node node, long timeLeftMicros) {
         FullHttpRequest message = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 call.method(),
@@ -442,7 +460,7 @@
         message.headers()
                 .set(HttpHeaderNames.HOST, NetUtil.toSocketAddressString(node.dial()))
                 .set("X-Correlation-Id", call.correlationId())
-                .set("X-Time-Left", Seconds.of(wait));
+                .set("X-Time-Left", Seconds.of(timeLeftMicros));
         if (call.idempotencyKey() != null) {
             message.headers().set("Idempotency-Key", call.idempotencyKey());
         }
@@ -453,37 +471,38 @@
     }
 
     /**
-     * An answer that is passed on is the request's single final answer from its first bytes on, and nothing is sent
-     * again for it; so the module is told then. Its id stays taken until the last byte.
+     * Starts a streamed response. It is the request's single final answer from its first bytes on, with no further
+     * attempts, so the outcome is reported to the module now. The correlation id stays in use until the last byte.
      */
-    private ResponseSink begins(Exchange x, int attempt, long sentAt, CacheStatus note, Passing passing) {
-        ResponseSink taker = null;
-        if (!x.answered) {
-            conclude(x);
+    private ResponseSink beginStreaming(
+            Exchange exchange, int attempt, long sentAt, CacheStatus cacheStatus, StreamedResponse response) {
+        ResponseSink sink = null;
+        if (!exchange.answered) {
+            markAnswered(exchange);
             counts[1]++;
-            taker = passing.begin();
+            sink = response.begin();
         }
-        told(x, attempt, sentAt, Code.OK, note);
-        return taker;
+        reportOutcome(exchange, attempt, sentAt, Code.OK, cacheStatus);
+        return sink;
     }
 
-    /** An answer on its way from a node's connection to a client's. */
-    private final class Passing implements ResponseSink, ResponseSink.FlowControl {
-        private final Exchange x;
+    /** A response that is streamed from a node's connection to a client's. */
+    private final class StreamedResponse implements ResponseSink, ResponseSink.FlowControl {
+        private final Exchange exchange;
         private final HttpResponse head;
         private final long length;
-        private final ResponseSink.FlowControl flow;
+        private final ResponseSink.FlowControl flowControl;
         private ResponseSink client;
 
-        Passing(Exchange x, HttpResponse head, long length, ResponseSink.FlowControl flow) {
-            this.x = x;
+        StreamedResponse(Exchange exchange, HttpResponse head, long length, ResponseSink.FlowControl flowControl) {
+            this.exchange = exchange;
             this.head = head;
             this.length = length;
-            this.flow = flow;
+            this.flowControl = flowControl;
         }
 
         ResponseSink begin() {
-            client = x.client.begins(head, length, this);
+            client = exchange.client.begins(head, length, this);
             return this;
         }
 
@@ -494,104 +513,108 @@
 
         @Override
         public void completed() {
-            ids.remove(x.call.correlationId());
+            correlationIds.remove(exchange.call.correlationId());
             client.completed();
         }
 
         @Override
         public void aborted() {
-            ids.remove(x.call.correlationId());
+            correlationIds.remove(exchange.call.correlationId());
             client.aborted();
         }
 
         @Override
         public void pause(boolean paused) {
-            flow.pause(paused);
+            flowControl.pause(paused);
         }
 
         @Override
         public void cancel() {
-            ids.remove(x.call.correlationId());
-            flow.cancel();
+            correlationIds.remove(exchange.call.correlationId());
+            flowControl.cancel();
         }
     }
 
-    private void ended(Exchange x, int attempt, long sentAt, Code code, CacheStatus note, FullHttpResponse answer) {
-        if (code == Code.OK && !x.answered) {
-            settle(x);
+    private void completeAttempt(
+            Exchange exchange, int attempt, long sentAt, Code code, CacheStatus cacheStatus, FullHttpResponse answer) {
+        if (code == Code.OK && !exchange.answered) {
+            finishForClient(exchange);
             counts[1]++;
-            x.client.served(answer);
+            exchange.client.served(answer);
         }
-        told(x, attempt, sentAt, code, note);
+        reportOutcome(exchange, attempt, sentAt, code, cacheStatus);
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code, CacheStatus note) {
-        boolean over = x.answered;
-        turns.event(() -> {
+    private void reportOutcome(Exchange exchange, int attempt, long sentAt, Code code, CacheStatus cacheStatus) {
+        boolean alreadyAnswered = exchange.answered;
+        eventQueue.event(() -> {
             long now = now();
             long elapsed = now - sentAt;
-            // What this process was late with itself must not be held against the node.
+            // This process's own lateness must not count as the node's latency.
             elapsed -= lateness == null ? 0 : Math.min(elapsed / 2, lateness.estimate(now));
-            module.outcome(now, new Balancer.Outcome(x.id, attempt, code, elapsed, over, note, null));
-            turns.action(() -> forget(x));
+            module.outcome(
+                    now, new Balancer.Outcome(exchange.id, attempt, code, elapsed, alreadyAnswered, cacheStatus, null));
+            eventQueue.action(() -> releaseIfDone(exchange));
         });
     }
 
     @Override
     public void refuse(String request, long retryAfter) {
-        answer(request, 2, client -> client.refused(retryAfter));
+        answerOnce(request, 2, client -> client.refused(retryAfter));
     }
 
     @Override
     public void fail(String request) {
-        answer(request, 3, Client::failed);
+        answerOnce(request, 3, Client::failed);
     }
 
-    private void answer(String request, int kind, Consumer<Client> how) {
-        turns.action(() -> {
-            Exchange x = open.get(request);
-            if (x != null && !x.answered) {
-                settle(x);
-                counts[kind]++;
-                how.accept(x.client);
-                forget(x);
+    private void answerOnce(String request, int countIndex, Consumer<Client> reply) {
+        eventQueue.action(() -> {
+            Exchange exchange = exchanges.get(request);
+            if (exchange != null && !exchange.answered) {
+                finishForClient(exchange);
+                counts[countIndex]++;
+                reply.accept(exchange.client);
+                releaseIfDone(exchange);
             }
         });
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        turns.action(() -> {
-            Exchange x = open.get(request);
-            if (x != null && x.out != null && x.attempts - 1 == attempt) {
-                x.out.cancel();
+        eventQueue.action(() -> {
+            Exchange exchange = exchanges.get(request);
+            if (exchange != null && exchange.currentAttempt != null && exchange.attempts - 1 == attempt) {
+                exchange.currentAttempt.cancel();
             }
         });
     }
 
     @Override
     public void probe(String server) {
-        log("probes are not part of this deployment");
+        log("probes are not supported in this deployment");
     }
 
     @Override
     public void closeIdle(String server) {
-        turns.action(() -> upstream.closeIdle(server));
+        eventQueue.action(() -> upstream.closeIdle(server));
     }
 
     @Override
     public void subscribe() {
-        turns.action(discovery::subscribe);
+        eventQueue.action(discovery::subscribe);
     }
 
     @Override
     public void timer(long at, long token) {
-        turns.action(() -> loop.schedule(
-                () -> turns.event(() -> module.timer(now(), token)), Math.max(0, at - now()), TimeUnit.MICROSECONDS));
+        eventQueue.action(() -> loop.schedule(
+                () -> eventQueue.event(() -> module.timer(now(), token)),
+                Math.max(0, at - now()),
+                TimeUnit.MICROSECONDS));
     }
 
     @Override
     public void log(String text) {
-        operator.accept(text);
+        operatorLog.accept(text);
     }
 }
--- a/src/main/java/anisebend/net/Part.java
+++ b/src/main/java/anisebend/net/Part.java
@@ -8,62 +8,62 @@
 import java.util.function.LongSupplier;
 
 /**
- * A part of the product that runs beside the proxy in one process, on the same event loop. The platform's {@code run}
- * has none, and loads none.
+ * A component that runs with the proxy in one process, on the same event loop. The platform's {@code run} has none and
+ * loads none.
  */
 public interface Part {
-    /** What a part may use of the proxy. */
+    /** The proxy as seen by a part. */
     interface Host {
-        /** The one thread that does everything here. */
+        /** The event loop that does all the work. */
         EventLoop loop();
 
-        /** Microseconds of the proxy's own clock, which never goes back. */
+        /** The proxy's monotonic clock, in microseconds. */
         LongSupplier clock();
 
-        /** A line for the operator. */
+        /** Writes a line to the operator's log. */
         void log(String text);
 
-        /** The version of the list of nodes that is known; on the loop. */
+        /** The version of the present list of nodes; on the event loop. */
         long listVersion();
 
-        /** Whether the register itself has told this process a list; on the loop. */
+        /** Whether the discovery service itself has sent this process a list; on the event loop. */
         boolean listed();
 
-        /** How long ago the register told or confirmed the list, in microseconds, negative for never; on the loop. */
+        /** Microseconds since discovery sent or confirmed the list, negative for never; on the event loop. */
         long listAge();
 
-        /** The list's entries as they were told, by their hosts; on the loop, and only to be read. */
+        /** The list's entries as received, by host; read-only, on the event loop. */
         Map<String, Map<String, Object>> list();
 
         /**
-         * Takes over another proxy's list, a whole one in the register's form, unless the register has told one; on the
-         * loop. Throws where it can't be read, and then nothing has changed.
+         * Adopts another proxy's whole list, in the discovery service's format, unless that service has sent one; on
+         * the event loop. Throws and changes nothing if the list can't be read.
          */
         void learn(byte[] list) throws IOException;
 
-        /** Where this process is asked and told what to do; null where there is no second address. */
+        /** The address for admin calls to this process; null where none is configured. */
         InetSocketAddress admin();
 
         /**
-         * How many proxies share whatever is bounded over all of them, from now on; on the loop.
+         * Sets the number of proxies that share the overall limits; on the event loop.
          *
-         * @param proxies 1 or more; may be told before the proxy has begun
+         * @param proxies 1 or more; may be set before the proxy has started
          */
         void sharedBy(int proxies);
     }
 
-    /** Begins, before the proxy is ready; not on the loop. Throws where it can't, and the proxy does not start. */
+    /** Starts the part before the proxy is ready; not on the event loop. If it throws, the proxy does not start. */
     void start(Host host) throws IOException;
 
-    /** Ten times a second, on the loop. */
+    /** Periodic work, ten times a second on the event loop. */
     void sweep(Phase phase);
 
-    /** What it answers to a call at the second address, behind {@code 200}; null where the call is not its own. */
+    /** Answers an admin call with the text after {@code 200}; null where the call is not for this part. */
     String call(String line);
 
-    /** Further lines of the counters. */
+    /** Appends further metrics. */
     void figures(StringBuilder to);
 
-    /** The process ends soon; on the loop. */
+    /** Called on the event loop when the process begins to end. */
     void leave();
 }
--- a/src/main/java/anisebend/net/ProxyServer.java
+++ b/src/main/java/anisebend/net/ProxyServer.java
@@ -48,123 +48,125 @@
 import java.util.function.Supplier;
 
 /**
- * The clients' side of the proxy: it listens, checks requests, hands them to the {@link Engine} and writes
- * each one's answer; and it ends in good order. One thread does all the work of the process.
+ * The proxy's client-facing server: accepts connections, validates requests, passes them to the {@link Engine}, writes
+ * the responses, and shuts down gracefully. A single event loop does all the work of the process.
  */
 public final class ProxyServer implements ClientConnection.Owner, AdminListener.Calls {
-    private static final int BACKLOG = 1024;
-    /** Parts of the descriptors for either side; the rest is for the JVM, discovery and sockets on their way out. */
-    private static final double CLIENT_PART = 0.4;
+    private static final int LISTEN_BACKLOG = 1024;
+    /** Share of the file descriptors for each side; the rest is for the JVM, discovery and sockets that are closing. */
+    private static final double CLIENT_SOCKET_SHARE = 0.4;
 
-    private static final double UPSTREAM_PART = 0.4;
+    private static final double UPSTREAM_SOCKET_SHARE = 0.4;
     /**
-     * This part of the heap is for long bodies; with the flags in deploy/balancer.toml the longest fits in it once, and
-     * what else is alive (10 to 15 MB) beside it.
+     * Share of the heap for long bodies. With the flags in deploy/balancer.toml it holds the longest allowed body once,
+     * and leaves room for the other live data (10 to 15 MB).
      */
-    private static final double BODY_PART = 0.45;
-    /** So many at most come in beyond the bound before it is seen. */
-    private static final int ACCEPTED_AT_ONCE = 4;
+    private static final double BODY_HEAP_SHARE = 0.45;
+    /** Also bounds by how much the connections can exceed their limit before accepting is paused. */
+    private static final int MAX_ACCEPTS_PER_READ = 4;
 
-    private static final int MAX_READ = 16 << 10;
-    private static final long SWEEP_MILLIS = 100;
+    private static final int MAX_READ_BYTES = 16 << 10;
+    private static final long SWEEP_INTERVAL_MILLIS = 100;
     /**
-     * So long before the end of a drain connections begin to close: what is usual has its answer by then, the rest
-     * fails. Whatever time is left over here is one in which clients have this proxy: at a rolling restart the next
-     * one stops before the first is back. Also covers slow starts and front ends that are late to see a stop. Could
-     * hurt where answers usually take longer than this.
+     * How long before the end of a drain connections begin to close. Usual requests are answered within this time; the
+     * others fail. It is short so that clients can use this proxy for longer: in a rolling restart the next proxy stops
+     * before the first one is back. Serving until then also covers slow starts and front ends that notice a stop late.
+     * It is too short where responses usually take longer than this.
      */
-    private static final long CLOSING_MILLIS = 150;
-    /** SIGKILL comes 0.7 s after the longest deadline, of which at most 3 s count; all must be over before it. */
-    private static final long LONGEST_MILLIS = 3_000;
-    /** What the system is asked to hold for one client, and for all, when the process is about to end. */
-    private static final int PARTING_EACH = 4 << 20;
+    private static final long CLOSING_LEAD_MILLIS = 150;
+    /** SIGKILL comes 0.7 s after the longest deadline (at most 3 s of it count); everything must have ended before. */
+    private static final long MAX_DEADLINE_MILLIS = 3_000;
+    /** Send buffer requested from the kernel for one client, and for all, when the process is about to end. */
+    private static final int HANDOFF_BYTES_PER_CLIENT = 4 << 20;
 
-    private static final long PARTING_MOST = 192L << 20;
-    private static final long BEFORE_KILL_MILLIS = 130;
+    private static final long MAX_HANDOFF_BYTES = 192L << 20;
+    private static final long KILL_MARGIN_MILLIS = 130;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.handlers());
     private final EventLoop loop = group.next();
     private ProxyConfig config;
-    private final Consumer<String> operator;
+    private final Consumer<String> operatorLog;
     private final Engine engine;
     private final Map<String, String> env;
-    private final ConnectionAdmission<ClientConnection> door;
+    private final ConnectionAdmission<ClientConnection> admission;
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
-    private BodyBudget<ClientConnection.Body> bodies =
-            new BodyBudget<>((long) (Runtime.getRuntime().maxMemory() * BODY_PART));
-    private final SendBufferHandoff<ClientConnection> parting = new SendBufferHandoff<>(PARTING_MOST, PARTING_EACH);
-    private final Map<String, Long> events = new TreeMap<>();
+    private BodyBudget<ClientConnection.Body> bodyBudget =
+            new BodyBudget<>((long) (Runtime.getRuntime().maxMemory() * BODY_HEAP_SHARE));
+    private final SendBufferHandoff<ClientConnection> handoff =
+            new SendBufferHandoff<>(MAX_HANDOFF_BYTES, HANDOFF_BYTES_PER_CLIENT);
+    private final Map<String, Long> traceEvents = new TreeMap<>();
     private final LoadShedder shedder;
     private final SplittableRandom random;
-    private long worstLate;
+    private long maxLatenessMicros;
     private boolean tracing;
     private final CountDownLatch drained = new CountDownLatch(1);
     private volatile long drainMillis;
     private Channel listener;
     private final Lifecycle lifecycle = new Lifecycle();
     private final Counters counters = new Counters();
-    private long reloadsTaken;
-    private long reloadsTurnedDown;
-    /** Null where there is no second address. */
+    private long reloadsApplied;
+    private long reloadsRejected;
+    /** Null where no admin address is configured. */
     private AdminListener admin;
     /**
-     * Who else of this proxy's processes is there; null where no other can be. It is known from the beginning, as SIGTERM
-     * may come before this one has begun.
+     * The other processes of this proxy; null where there can be none. Set from the start, as SIGTERM may arrive before
+     * this process serves.
      */
     private final Succession succession;
-    /** See {@link #sendBuffers}; negative until it is known. */
-    private int granted = -1;
-    /** How many processes share what this proxy may hold. */
-    private int processes = 1;
-    /** There while the code is warmed up; until that is over it is not ready. */
+    /** Result of {@link #sendBuffers}; negative until known. */
+    private int grantedSendBuffer = -1;
+    /** Number of processes that share this proxy's limits. */
+    private int processCount = 1;
+    /** Non-null during the warm-up, in which the proxy is not ready. */
     private Warmup warmup;
-    /** None on the platform. */
+    /** Empty on the platform. */
     private final List<Part> parts = new ArrayList<>(0);
 
     private ProxyServer(ProxyConfig config, Map<String, String> env, Consumer<String> operator) {
         this.config = config;
-        this.operator = operator;
+        this.operatorLog = operator;
         this.env = env;
-        this.door = new ConnectionAdmission<>(part(config.sockets(), CLIENT_PART));
-        this.engine = new Engine(loop, config, part(config.sockets(), UPSTREAM_PART), operator);
+        this.admission = new ConnectionAdmission<>(socketShare(config.sockets(), CLIENT_SOCKET_SHARE));
+        this.engine = new Engine(loop, config, socketShare(config.sockets(), UPSTREAM_SOCKET_SHARE), operator);
         this.random = new SplittableRandom(config.seed());
         this.shedder = new LoadShedder(
                 new double[0],
                 config.settings().tenants().stream()
                         .mapToDouble(Balancer.Tenant::share)
                         .toArray());
-        this.succession = succession();
-        take(config);
+        this.succession = openSuccession();
+        apply(config);
     }
 
-    /** What of a configuration is this class's to keep. */
-    private void take(ProxyConfig taken) {
+    /** Applies the parts of a configuration that this class uses. */
+    private void apply(ProxyConfig taken) {
         config = taken;
         taken.classes().names().forEach(counters::list);
         shedder.setClasses(taken.settings().classes().stream()
                 .mapToDouble(Balancer.RequestClass::importance)
                 .toArray());
-        long longest = taken.classes().names().stream()
+        long longestDeadlineMillis = taken.classes().names().stream()
                 .mapToInt(taken.classes()::number)
                 .mapToLong(number -> taken.classes().rules().get(number).deadline() / 1000)
                 .max()
                 .orElse(0);
-        drainMillis = Math.max(CLOSING_MILLIS, Math.min(LONGEST_MILLIS, longest) + 700 - BEFORE_KILL_MILLIS);
+        drainMillis = Math.max(
+                CLOSING_LEAD_MILLIS, Math.min(MAX_DEADLINE_MILLIS, longestDeadlineMillis) + 700 - KILL_MARGIN_MILLIS);
     }
 
-    private static int part(int sockets, double part) {
+    private static int socketShare(int sockets, double part) {
         return Math.max(1, (int) (sockets * part));
     }
 
-    /** While old and new processes are there, all together may hold no more than one. */
-    private void bound() {
-        int mine = config.sockets() / processes;
-        door.setCapacity(part(mine, CLIENT_PART));
-        engine.limit(part(mine, UPSTREAM_PART));
+    /** Divides the connection limits between the running processes: together they may hold no more than one alone. */
+    private void updateLimits() {
+        int ownSockets = config.sockets() / processCount;
+        admission.setCapacity(socketShare(ownSockets, CLIENT_SOCKET_SHARE));
+        engine.setConnectionLimit(socketShare(ownSockets, UPSTREAM_SOCKET_SHARE));
     }
 
-    /** Looks who else is there, tells the others what this one does, and shares with them. */
-    private void share() {
+    /** Publishes this process's phase, reads that of the others, and adapts the limits to their number. */
+    private void syncWithOtherProcesses() {
         if (succession == null) {
             return;
         }
@@ -177,53 +179,53 @@
                 });
         succession.look();
         Generations generations = succession.generations();
-        if (generations.processes() != processes) {
-            processes = generations.processes();
-            bound();
+        if (generations.processes() != processCount) {
+            processCount = generations.processes();
+            updateLimits();
         }
         if (lifecycle.phase() == Phase.STOPPING && generations.succeeded()) {
             lifecycle.successorStarted(engine.now());
-            operator.accept("a successor takes clients: " + lifecycle.phase());
-            leave();
+            operatorLog.accept("successor process accepts clients, now in phase " + lifecycle.phase());
+            stopAccepting();
         }
         checkDrained();
     }
 
-    /** A proxy as the platform's variables say; throws what is wrong with them as one plain line. */
+    /** Creates a proxy from the environment; the exception's message names what is wrong in one line. */
     public static ProxyServer of(Map<String, String> env) throws IOException {
         NettyLog.install();
         return of(env, System.err::println);
     }
 
-    /** The same, with lines for the operator going there; Netty's own log is the caller's to set up. */
+    /** Creates a proxy that logs to {@code operator}; the caller sets up Netty's own logging. */
     public static ProxyServer of(Map<String, String> env, Consumer<String> operator) throws IOException {
         return new ProxyServer(ProxyConfig.load(env), env, operator);
     }
 
-    /** The proxy's name, as the platform tells it. */
+    /** The proxy's name, as configured by the platform. */
     public String name() {
         return config.name();
     }
 
-    /** Room for long bodies in bytes, where it is not to follow the heap; asked for before it starts. */
-    ProxyServer bodies(long most) {
-        bodies = new BodyBudget<>(most);
+    /** Sets the budget for long bodies in bytes, instead of a share of the heap; to be called before the start. */
+    ProxyServer bodies(long maxBytes) {
+        bodyBudget = new BodyBudget<>(maxBytes);
         return this;
     }
 
-    /** Writes what it does and believes each period, for whoever looks for a cause; asked for before it starts. */
+    /** Logs a {@link Trace} line every period for troubleshooting; to be called before the start. */
     public ProxyServer trace(long periodMillis) {
         tracing = true;
-        Trace trace = new Trace(engine, operator);
+        Trace trace = new Trace(engine, operatorLog);
         loop.scheduleAtFixedRate(
                 () -> {
-                    clients.forEach(c -> counted("now:" + c.state()));
+                    clients.forEach(client -> counted("now:" + client.state()));
                     trace.line(
-                            worstLate,
-                            clients.size() + " " + events + " accepts=" + door.hasCapacity() + " shed="
+                            maxLatenessMicros,
+                            clients.size() + " " + traceEvents + " accepts=" + admission.hasCapacity() + " shed="
                                     + shedder.level());
-                    events.clear();
-                    worstLate = 0;
+                    traceEvents.clear();
+                    maxLatenessMicros = 0;
                 },
                 periodMillis,
                 periodMillis,
@@ -231,18 +233,18 @@
         return this;
     }
 
-    /** How many proxies share the service, as the platform's settings say. */
+    /** The number of proxies that share the service, as configured. */
     public int proxies() {
         return config.settings().balancers();
     }
 
-    /** Lets a part of the product run beside it, from its start on; asked for before it starts. */
+    /** Adds a part that starts and runs with the proxy; to be called before the start. */
     public ProxyServer with(Part part) {
         parts.add(part);
         return this;
     }
 
-    private final class Hosting implements Part.Host {
+    private final class PartHost implements Part.Host {
         @Override
         public EventLoop loop() {
             return loop;
@@ -255,7 +257,7 @@
 
         @Override
         public void log(String text) {
-            operator.accept(text);
+            operatorLog.accept(text);
         }
 
         @Override
@@ -275,12 +277,12 @@
 
         @Override
         public Map<String, Map<String, Object>> list() {
-            return engine.discovery().told();
+            return engine.discovery().entries();
         }
 
         @Override
         public void learn(byte[] list) throws IOException {
-            engine.discovery().learn(ProxyConfig.parse(list));
+            engine.discovery().adopt(ProxyConfig.parse(list));
         }
 
         @Override
@@ -296,31 +298,31 @@
 
     private void startParts() throws IOException {
         if (!parts.isEmpty()) {
-            engine.discovery().retain();
+            engine.discovery().retainEntries();
         }
         for (Part part : parts) {
-            part.start(new Hosting());
+            part.start(new PartHost());
         }
     }
 
     /**
-     * Begins to serve, and says that it is ready when its code is warm. With a second address it warms up there and
-     * listens for clients only then: during an upgrade another process has them.
+     * Starts the proxy and reports it ready once its code is warmed up. With an admin address it warms up there and
+     * listens for clients only afterwards: during an upgrade another process serves them meanwhile.
      */
     public ProxyServer startWarm() throws IOException {
         startParts();
         if (config.admin() == null) {
-            begin(this::listen);
+            beginServing(this::listen);
             loop.execute(() -> warmUp(address(), lifecycle::started));
         } else {
-            begin(this::listenForCalls);
+            beginServing(this::listenForAdmin);
             loop.execute(() -> warmUp((InetSocketAddress) admin.address(), () -> listen().addListener(bound -> {
                 if (bound.isSuccess()) {
                     lifecycle.started();
-                    share();
+                    syncWithOtherProcesses();
                 } else {
-                    operator.accept("anisebend: " + bound.cause().getMessage());
-                    Runtime.getRuntime().halt(1); // nobody could ever reach it
+                    operatorLog.accept("anisebend: " + bound.cause().getMessage());
+                    Runtime.getRuntime().halt(1); // no client could ever reach this process
                 }
             })));
         }
@@ -328,35 +330,35 @@
     }
 
     private void warmUp(InetSocketAddress self, Runnable then) {
-        boolean hurried = !config.begins()
+        boolean urgent = !config.begins()
                 && (succession == null || !succession.generations().hasPredecessor());
-        warmup = new Warmup(loop, config, self, hurried, () -> {
+        warmup = new Warmup(loop, config, self, urgent, () -> {
             warmup = null;
             then.run();
         });
         warmup.start();
     }
 
-    /** Null where no other process can be known; then the end of this one is a restart. */
-    private Succession succession() {
-        String folder = env.get("TMPDIR");
-        if (config.admin() == null || folder == null || folder.isEmpty()) {
+    /** Null where other processes cannot be detected; the end of this one then counts as a restart. */
+    private Succession openSuccession() {
+        String directory = env.get("TMPDIR");
+        if (config.admin() == null || directory == null || directory.isEmpty()) {
             return null;
         }
         try {
-            return new Succession(Path.of(folder, "gorsemast-" + config.name()));
+            return new Succession(Path.of(directory, "gorsemast-" + config.name()));
         } catch (IOException | RuntimeException e) {
-            operator.accept("knows of no other process: " + e);
+            operatorLog.accept("cannot detect other processes of this proxy: " + e);
             return null;
         }
     }
 
-    /** Begins to serve, cold. */
+    /** Starts the proxy without a warm-up. */
     public ProxyServer start() throws IOException {
         startParts();
-        begin(() -> {
+        beginServing(() -> {
             if (config.admin() != null) {
-                listenForCalls();
+                listenForAdmin();
             }
             lifecycle.started();
             return listen();
@@ -364,16 +366,17 @@
         return this;
     }
 
-    private void begin(Supplier<ChannelFuture> listening) throws IOException {
+    private void beginServing(Supplier<ChannelFuture> listening) throws IOException {
         try {
             loop.submit(() -> {
                         engine.begin(config);
                         engine.watchLateness(late -> {
-                            worstLate = Math.max(worstLate, late);
+                            maxLatenessMicros = Math.max(maxLatenessMicros, late);
                             shedder.recordLateness(engine.now(), late);
                         });
-                        share();
-                        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MILLIS, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+                        syncWithOtherProcesses();
+                        loop.scheduleWithFixedDelay(
+                                this::sweep, SWEEP_INTERVAL_MILLIS, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                         return listening.get();
                     })
                     .get()
@@ -387,7 +390,7 @@
         }
     }
 
-    private ChannelFuture listenForCalls() {
+    private ChannelFuture listenForAdmin() {
         admin = new AdminListener(this, ch -> {
             if (warmup == null) {
                 return false;
@@ -399,17 +402,18 @@
         return admin.listen(group, loop, config.admin());
     }
 
-    @SuppressWarnings("deprecation") // of the option's name alone
+    @SuppressWarnings("deprecation") // only the option's name is deprecated
     private ChannelFuture listen() {
         ChannelFuture bound = new ServerBootstrap()
                 .group(group)
                 .channel(Transport.listener(loop))
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, LISTEN_BACKLOG)
                 .option(Transport.reusePort(loop), config.admin() != null)
                 .option(
                         ChannelOption.RCVBUF_ALLOCATOR,
-                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(ACCEPTED_AT_ONCE))
-                .childOption(ChannelOption.RCVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, MAX_READ))
+                        new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(MAX_ACCEPTS_PER_READ))
+                .childOption(
+                        ChannelOption.RCVBUF_ALLOCATOR, new AdaptiveRecvByteBufAllocator(512, 1024, MAX_READ_BYTES))
                 .childOption(ChannelOption.ALLOCATOR, new UnpooledByteBufAllocator(false))
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -429,34 +433,34 @@
         return bound;
     }
 
-    /** Where it listens, once it does. */
+    /** The address on which it listens for clients; only once it listens. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Where it is asked and told what to do, once it listens there. */
+    /** The address for admin calls; only once it listens there. */
     InetSocketAddress adminAddress() {
         return (InetSocketAddress) admin.address();
     }
 
-    /** What it is doing. */
+    /** The current lifecycle phase. */
     Phase phase() throws InterruptedException, ExecutionException {
         return loop.submit(lifecycle::phase).get();
     }
 
-    /** Whether it has no client and holds no request. */
+    /** Whether there are no client connections and no requests. */
     boolean idle() throws InterruptedException, ExecutionException {
         return loop.submit(() -> clients.isEmpty() && engine.idle()).get();
     }
 
-    /** Lets SIGHUP take over a configuration that has been replaced. */
+    /** Reloads the configuration on SIGHUP. */
     public void reloadOnHangup() {
         Signals.onHangup(this::reload);
     }
 
     /**
-     * Reads the configuration anew and takes over what may change in service; a broken file changes nothing.
-     * Signals that come close together are heard on threads of their own: one after another, the last read wins.
+     * Reloads the configuration and applies what may change at runtime; an invalid file changes nothing. Signals in
+     * quick succession are handled on separate threads, hence synchronized: the last file read wins.
      */
     synchronized void reload() {
         try {
@@ -465,50 +469,50 @@
                 try {
                     ProxyConfig next = changed.after(config);
                     engine.reconfigure(next);
-                    take(next);
-                    bound();
-                    reloadsTaken++;
+                    apply(next);
+                    updateLimits();
+                    reloadsApplied++;
                 } catch (IOException | RuntimeException e) {
-                    turnDown(e);
+                    rejectReload(e);
                 }
             });
         } catch (IOException | RuntimeException e) {
-            loop.execute(() -> turnDown(e));
+            loop.execute(() -> rejectReload(e));
         }
     }
 
-    private void turnDown(Exception e) {
-        operator.accept("configuration kept as it was: " + e.getMessage());
-        reloadsTurnedDown++;
+    private void rejectReload(Exception e) {
+        operatorLog.accept("configuration not reloaded: " + e.getMessage());
+        reloadsRejected++;
     }
 
     /**
-     * Drains and returns when nothing is held, or just before a SIGKILL may come. It goes on accepting for a while where
-     * nobody else takes clients. Blocks; not to be called on the loop. Once.
+     * Drains the proxy; returns when no connection is left, or just before a SIGKILL may come. Goes on accepting for a
+     * while where no other process accepts clients. Blocks; call it once, and not on the event loop.
      */
     public void drain() {
         loop.execute(this::beginDrain);
         try {
-            drained.await(drainMillis + BEFORE_KILL_MILLIS / 2, TimeUnit.MILLISECONDS);
+            drained.await(drainMillis + KILL_MARGIN_MILLIS / 2, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** The one thread that does everything here. */
+    /** The event loop that does all the work. */
     EventLoop loop() {
         return loop;
     }
 
-    /** Stops at once. */
+    /** Stops immediately. */
     void stop() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Where nobody else is there, serves on as ever for as long as a kill can't come, as clients whose connections
-     * close could not come back; then ends each connection as soon as nothing is in hand on it, those included that
-     * have never asked. With a successor that starts at once.
+     * Begins the drain. Without a successor it serves normally until shortly before a kill may come, as clients whose
+     * connections are closed could not reconnect; then it closes each connection that has no request in progress,
+     * including those that never sent one. With a successor, closing starts immediately.
      */
     private void beginDrain() {
         long now = engine.now();
@@ -518,58 +522,58 @@
         lifecycle.terminate(
                 now,
                 succession != null && succession.generations().succeeded(),
-                TimeUnit.MILLISECONDS.toMicros(drainMillis - CLOSING_MILLIS));
-        operator.accept("drains for at most " + drainMillis + " ms: " + lifecycle.phase());
+                TimeUnit.MILLISECONDS.toMicros(drainMillis - CLOSING_LEAD_MILLIS));
+        operatorLog.accept("draining for at most " + drainMillis + " ms in phase " + lifecycle.phase());
         if (lifecycle.phase() == Phase.STOPPING) {
-            door.drain(now);
+            admission.drain(now);
         }
-        share();
+        syncWithOtherProcesses();
         parts.forEach(Part::leave);
-        loop.schedule(this::leave, Math.max(0, lifecycle.closingStartsAt() - now), TimeUnit.MICROSECONDS);
-        loop.schedule(this::closeFree, drainMillis - CLOSING_MILLIS, TimeUnit.MILLISECONDS);
-        loop.schedule(engine::giveUpAll, drainMillis, TimeUnit.MILLISECONDS);
+        loop.schedule(this::stopAccepting, Math.max(0, lifecycle.closingStartsAt() - now), TimeUnit.MICROSECONDS);
+        loop.schedule(this::closeFreeConnections, drainMillis - CLOSING_LEAD_MILLIS, TimeUnit.MILLISECONDS);
+        loop.schedule(engine::failAllUnanswered, drainMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Lets nobody in any more; who waits to be let in still is, as the end of the listener would reset him. */
-    private void leave() {
+    /** Stops listening. Connections in the backlog are still accepted, as closing the listener would reset them. */
+    private void stopAccepting() {
         if (listener != null) {
             ServerBacklog.close(listener);
         }
         if (lifecycle.phase() == Phase.STOPPING) {
-            closeFree();
+            closeFreeConnections();
         }
-        part();
+        handOffResponses();
         checkDrained();
     }
 
-    /** Hands to the system what is left of long answers, as their clients may need longer than this process has. */
-    private void part() {
-        Map<ClientConnection, Long> rests = new LinkedHashMap<>();
+    /** Hands the rest of long responses to the kernel, as slow clients may read for longer than this process runs. */
+    private void handOffResponses() {
+        Map<ClientConnection, Long> unsentBytes = new LinkedHashMap<>();
         for (ClientConnection client : clients) {
             if (client.passing()) {
-                rests.put(client, client.rest());
+                unsentBytes.put(client, client.rest());
             }
         }
-        if (!rests.isEmpty() && sendBuffers() > 0) {
-            parting.select(rests).forEach(client -> client.sendBuffer(PARTING_EACH));
+        if (!unsentBytes.isEmpty() && sendBuffers() > 0) {
+            handoff.select(unsentBytes).forEach(client -> client.sendBuffer(HANDOFF_BYTES_PER_CLIENT));
         }
     }
 
-    /** How much the system lets one socket hold when it is asked to; where that is less than by itself, it isn't asked. */
+    /** The send buffer that the system grants a socket on request; 0 where that is less than needed for a handoff. */
     private int sendBuffers() {
-        if (granted < 0) {
+        if (grantedSendBuffer < 0) {
             try (SocketChannel probe = SocketChannel.open()) {
-                probe.setOption(StandardSocketOptions.SO_SNDBUF, PARTING_EACH);
-                int most = probe.getOption(StandardSocketOptions.SO_SNDBUF);
-                granted = most >= PARTING_EACH ? most : 0;
+                probe.setOption(StandardSocketOptions.SO_SNDBUF, HANDOFF_BYTES_PER_CLIENT);
+                int bufferSize = probe.getOption(StandardSocketOptions.SO_SNDBUF);
+                grantedSendBuffer = bufferSize >= HANDOFF_BYTES_PER_CLIENT ? bufferSize : 0;
             } catch (IOException e) {
-                return 0; // no descriptor just now
+                return 0; // no file descriptor is free at the moment
             }
         }
-        return granted;
+        return grantedSendBuffer;
     }
 
-    private void closeFree() {
+    private void closeFreeConnections() {
         long now = engine.now();
         for (ClientConnection client : List.copyOf(clients)) {
             if (client.idle() || client.dispensable(now)) {
@@ -578,17 +582,19 @@
         }
     }
 
-    /** Closes as many of the connections on which nothing is asked as are to go now, the longest known first. */
-    private void sendAway(long now) {
-        List<ClientConnection> vacant =
+    /** Closes as many idle connections as are due in this sweep, the oldest first. */
+    private void closeIdleConnections(long now) {
+        List<ClientConnection> idleClients =
                 clients.stream().filter(client -> client.vacant(now)).toList();
-        int left = lifecycle.idleConnectionsToClose(now, vacant.size(), TimeUnit.MILLISECONDS.toMicros(SWEEP_MILLIS));
-        vacant.subList(0, left).forEach(ClientConnection::closeIfFree);
+        int closeCount = lifecycle.idleConnectionsToClose(
+                now, idleClients.size(), TimeUnit.MILLISECONDS.toMicros(SWEEP_INTERVAL_MILLIS));
+        idleClients.subList(0, closeCount).forEach(ClientConnection::closeIfFree);
     }
 
     /**
-     * A process that is stopped beside one that came before it ends after that: whoever started them may take the end of
-     * the latest for the end of the proxy, and kill the other while it has requests in hand.
+     * Completes the drain when no client is left. A process with a predecessor that still runs ends after it: the
+     * supervisor may take the end of the latest process for the end of the proxy, and kill the other with requests in
+     * progress.
      */
     private void checkDrained() {
         if (closing()
@@ -599,7 +605,7 @@
         }
     }
 
-    // ---- calls at the second address
+    // ---- admin calls
 
     @Override
     public boolean health() {
@@ -608,13 +614,13 @@
 
     @Override
     public String counters() {
-        StringBuilder figures = new StringBuilder(1024);
-        counters.write(figures);
-        engine.figures(figures);
-        parts.forEach(part -> part.figures(figures));
-        Counters.counter(figures, "reloads_ok", reloadsTaken);
-        Counters.counter(figures, "reloads_failed", reloadsTurnedDown);
-        return figures.toString();
+        StringBuilder metrics = new StringBuilder(1024);
+        counters.write(metrics);
+        engine.writeMetrics(metrics);
+        parts.forEach(part -> part.figures(metrics));
+        Counters.counter(metrics, "reloads_ok", reloadsApplied);
+        Counters.counter(metrics, "reloads_failed", reloadsRejected);
+        return metrics.toString();
     }
 
     @Override
@@ -630,19 +636,19 @@
 
     @Override
     public boolean quiesce() {
-        boolean does = lifecycle.quiesce(engine.now());
-        share(); // whoever is to end must not count on this process
-        return does;
+        boolean accepted = lifecycle.quiesce(engine.now());
+        syncWithOtherProcesses(); // a process that is to end must not rely on this one
+        return accepted;
     }
 
     @Override
     public boolean resume() {
-        boolean does = lifecycle.resume();
-        share();
-        return does;
+        boolean accepted = lifecycle.resume();
+        syncWithOtherProcesses();
+        return accepted;
     }
 
-    // ---- what the connections of clients have in common
+    // ---- shared by the client connections
 
     @Override
     public ProxyConfig config() {
@@ -666,18 +672,18 @@
 
     @Override
     public BodyBudget<ClientConnection.Body> bodies() {
-        return bodies;
+        return bodyBudget;
     }
 
     @Override
     public void letGo(ClientConnection.Body body) {
-        bodies.release(body).forEach(ClientConnection.Body::admitted);
+        bodyBudget.release(body).forEach(ClientConnection.Body::admitted);
     }
 
     @Override
     public void counted(String what) {
         if (tracing) {
-            events.merge(what, 1L, Long::sum);
+            traceEvents.merge(what, 1L, Long::sum);
         }
     }
 
@@ -685,13 +691,13 @@
     public void opened(ClientConnection connection) {
         counted("accepted");
         clients.add(connection);
-        door.opened(engine.now(), connection);
-        makeRoom();
+        admission.opened(engine.now(), connection);
+        enforceCapacity();
     }
 
     @Override
     public long turnsAway(RequestHead head) {
-        if (door.mustRefuseInDrain(engine.now(), shedder.isMostImportant(head.requestClass))) {
+        if (admission.mustRefuseInDrain(engine.now(), shedder.isMostImportant(head.requestClass))) {
             counted("tight");
         } else if (shedder.shouldShed(head.requestClass, head.tenant, head.repeat, random.nextDouble())) {
             counted("shed");
@@ -712,64 +718,64 @@
 
     @Override
     public void asks(ClientConnection connection) {
-        door.requestReceived(engine.now(), connection);
+        admission.requestReceived(engine.now(), connection);
     }
 
     @Override
     public void closed(ClientConnection connection) {
         clients.remove(connection);
-        parting.finished(connection);
-        door.closed(connection);
-        makeRoom();
+        handoff.finished(connection);
+        admission.closed(connection);
+        enforceCapacity();
         checkDrained();
     }
 
     @Override
     public void idle(ClientConnection connection, boolean turnedAway) {
         if (turnedAway) {
-            door.rejected(engine.now(), connection);
+            admission.rejected(engine.now(), connection);
         } else {
-            door.responseSent(engine.now(), connection);
+            admission.responseSent(engine.now(), connection);
         }
         if (!listener.config().isAutoRead()) {
-            makeRoom();
+            enforceCapacity();
         }
     }
 
     private void sweep() {
         long now = engine.now();
         if (closing() && lifecycle.isEnding()) {
-            part();
+            handOffResponses();
         }
         for (ClientConnection client : List.copyOf(clients)) {
             client.checkTime(now);
         }
         if (closing()) {
             if (lifecycle.phase() == Phase.STOPPING) {
-                closeFree();
+                closeFreeConnections();
             } else {
-                sendAway(now);
+                closeIdleConnections(now);
             }
         }
-        share();
+        syncWithOtherProcesses();
         parts.forEach(part -> part.sweep(lifecycle.phase()));
         if (listener != null && !listener.config().isAutoRead()) {
-            makeRoom();
+            enforceCapacity();
         }
     }
 
-    /** Closes whom the door names, and lets more in only while it is open. */
-    private void makeRoom() {
+    /** Closes the connections that admission selects, and accepts new ones only while there is capacity. */
+    private void enforceCapacity() {
         if (listener == null || !listener.isOpen()) {
             return;
         }
         long now = engine.now();
-        for (ClientConnection client : door.connectionsToClose(now)) {
+        for (ClientConnection client : admission.connectionsToClose(now)) {
             if (!client.reading(now)) {
                 client.closeIfFree();
-                door.closed(client); // it closes when what was answered is written out, and need not be named again
+                admission.closed(client); // closes once its response is written; must not be selected again
             }
         }
-        listener.config().setAutoRead(door.hasCapacity());
+        listener.config().setAutoRead(admission.hasCapacity());
     }
 }
--- a/src/main/java/anisebend/net/Trace.java
+++ b/src/main/java/anisebend/net/Trace.java
@@ -11,29 +11,29 @@
 import java.util.function.Consumer;
 
 /**
- * One line a second for finding the cause of a bad day: what the module believes of each node beside what passed
- * on the sockets, what was refused and why, and how late the loop was. Off unless asked for at the start, and never
- * on a request's way. The figures are those of the second, but for states, which are the present ones.
+ * Periodic diagnostics for troubleshooting: the module's state for each node next to the traffic on its sockets, what
+ * was refused and why, and how late the event loop was. Off unless enabled at the start, and never in a request's path.
+ * Counts are those since the previous line; states are the present ones.
  */
 final class Trace {
     private final Engine engine;
-    private final Consumer<String> out;
-    private final long[] why = new long[UnservedReason.values().length];
-    private final Map<String, long[]> before = new HashMap<>();
+    private final Consumer<String> output;
+    private final long[] unservedBefore = new long[UnservedReason.values().length];
+    private final Map<String, long[]> trafficBefore = new HashMap<>();
     private final long startMicros;
     private long[] counts = new long[5];
 
     Trace(Engine engine, Consumer<String> out) {
         this.engine = engine;
-        this.out = out;
+        this.output = out;
         this.startMicros = engine.now();
     }
 
-    /** Writes one line; {@code worstMicros} is how late the loop was at its worst, {@code clients} the connections. */
+    /** Writes one line; {@code worstMicros} is the event loop's greatest lateness, {@code clients} the connections. */
     void line(long worstMicros, String clients) {
         long now = engine.now();
         Balancer.View view = engine.view();
-        StringBuilder s = new StringBuilder("trace t=")
+        StringBuilder text = new StringBuilder("trace t=")
                 .append((now - startMicros) / 1000)
                 .append(" late=")
                 .append(worstMicros / 1000)
@@ -50,17 +50,20 @@
         long[] present = engine.counts();
         String[] names = {"taken", "served", "refused", "failed", "gone"};
         for (int i = 0; i < present.length; i++) {
-            s.append(' ').append(names[i]).append('=').append(present[i] - counts[i]);
+            text.append(' ').append(names[i]).append('=').append(present[i] - counts[i]);
         }
         counts = present;
-        for (UnservedReason w : UnservedReason.values()) {
-            s.append(' ').append(w).append('=').append(view.unservedByReason()[w.ordinal()] - why[w.ordinal()]);
-            why[w.ordinal()] = view.unservedByReason()[w.ordinal()];
+        for (UnservedReason reason : UnservedReason.values()) {
+            text.append(' ')
+                    .append(reason)
+                    .append('=')
+                    .append(view.unservedByReason()[reason.ordinal()] - unservedBefore[reason.ordinal()]);
+            unservedBefore[reason.ordinal()] = view.unservedByReason()[reason.ordinal()];
         }
         for (ServerView server : view.servers()) {
-            Traffic t = engine.traffic(server.id());
-            long[] last = before.computeIfAbsent(server.id(), id -> new long[Code.values().length + 5]);
-            s.append("\n  ")
+            Traffic traffic = engine.traffic(server.id());
+            long[] last = trafficBefore.computeIfAbsent(server.id(), id -> new long[Code.values().length + 5]);
+            text.append("\n  ")
                     .append(server.id())
                     .append(' ')
                     .append(server.state())
@@ -79,31 +82,31 @@
                     .append(server.excludedClasses())
                     .append(" slow=")
                     .append(Math.round(server.slowness() * 100) / 100.0);
-            if (t == null) {
+            if (traffic == null) {
                 continue;
             }
-            s.append(" conns=").append(t.open).append('+').append(t.opening);
+            text.append(" conns=").append(traffic.open).append('+').append(traffic.opening);
             int i = 0;
-            s.append(" dialled=")
-                    .append(since(last, i++, t.connects))
+            text.append(" dialled=")
+                    .append(since(last, i++, traffic.connects))
                     .append(" notup=")
-                    .append(since(last, i++, t.connectsFailed))
+                    .append(since(last, i++, traffic.connectsFailed))
                     .append(" noroom=")
-                    .append(since(last, i++, t.noCapacity));
-            long up = since(last, i++, t.connectMicros);
-            s.append(" upms=").append(up / 1000);
-            long ok = since(last, i++, t.okMicros);
+                    .append(since(last, i++, traffic.noCapacity));
+            long up = since(last, i++, traffic.connectMicros);
+            text.append(" upms=").append(up / 1000);
+            long ok = since(last, i++, traffic.okMicros);
             for (Code code : Code.values()) {
-                long n = since(last, i++, t.ended[code.ordinal()]);
+                long n = since(last, i++, traffic.ended[code.ordinal()]);
                 if (n > 0) {
-                    s.append(' ').append(code).append('=').append(n);
+                    text.append(' ').append(code).append('=').append(n);
                     if (code == Code.OK) {
-                        s.append('@').append(ok / n / 1000).append("ms");
+                        text.append('@').append(ok / n / 1000).append("ms");
                     }
                 }
             }
         }
-        out.accept(s.toString());
+        output.accept(text.toString());
     }
 
     private static long since(long[] last, int at, long value) {
