--- a/src/test/java/anisebend/net/LongAnswerTest.java
+++ b/src/test/java/anisebend/net/LongAnswerTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Answers that are too long to be kept: passed on as they come, and never more of them held than a little. */
+/** Responses too long to be buffered are streamed, with only a small part in memory at any time. */
 class LongAnswerTest {
     private static final double LONG = 60;
     private static final int MEGA = 1 << 20;
@@ -97,7 +97,7 @@
         return line.toString(StandardCharsets.US_ASCII).trim();
     }
 
-    /** Reads an answer by whatever framing it has; the body ends early where the connection does. */
+    /** Reads a response with any framing; the body ends early if the connection does. */
     private static byte[] body(InputStream in) throws IOException {
         assertEquals("HTTP/1.1 200 OK", line(in));
         int length = -1;
@@ -144,9 +144,9 @@
         assertEquals(6, node.requests.size());
     }
 
-    /** Ten answers that nobody reads, each far longer than what all may hold; their nodes must be made to wait. */
+    /** Ten unread responses, each far longer than the memory for all of them; their nodes must be paused. */
     @Test
-    void holdsTheNodeBackWhileItsClientDoesNotRead() throws Exception {
+    void pausesTheNodeWhileItsClientDoesNotRead() throws Exception {
         int length = 24 * MEGA;
         AtomicLong written = new AtomicLong();
         script = (request, socket) -> {
@@ -164,23 +164,23 @@
             write(clients[i].socket, get().replace("/api/k", "/api/" + i));
             assertEquals('H', clients[i].socket.getInputStream().read());
         }
-        // Somebody else's whole answer shows that the loop has turned often since.
+        // A whole response to another client shows that the event loop has run many iterations since.
         for (int i = 0; i < 200; i++) {
             try (Client probe = new Client(proxy.address().getPort())) {
                 probe.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             }
         }
-        assertTrue(written.get() < 10L * length * 3 / 4, "all of it was taken in: " + written);
+        assertTrue(written.get() < 10L * length * 3 / 4, "the proxy read all of it: " + written);
         for (Client client : clients) {
             client.socket.getInputStream().skipNBytes(length);
             client.close();
         }
-        assertEquals(10L * length, written.get(), "and none of it is lost");
+        assertEquals(10L * length, written.get(), "no byte is lost");
     }
 
-    /** The client can tell, and nothing is asked again: it has had the first half of this very answer. */
+    /** The client can detect the cut; no retry, as it has already received the first half of this response. */
     @Test
-    void showsACutAndDoesNotAskAgain() throws Exception {
+    void propagatesACutWithoutRetry() throws Exception {
         script = (request, socket) -> {
             write(socket, head("Content-Length: " + MEGA));
             socket.getOutputStream().write(new byte[MEGA / 2]);
@@ -194,9 +194,9 @@
         assertEquals(1, node.requests.size());
     }
 
-    /** Its head alone is no beginning that a client could see: it is asked for again, and nothing is cut. */
+    /** After the head alone the client has seen nothing yet: the request is retried and the response is whole. */
     @Test
-    void asksAgainWhereNothingButTheHeadHasCome() throws Exception {
+    void retriesWhenOnlyTheHeadArrived() throws Exception {
         CountDownLatch once = new CountDownLatch(1);
         script = (request, socket) -> {
             write(socket, head("Content-Length: " + MEGA));
@@ -214,9 +214,9 @@
         assertEquals(2, node.requests.size());
     }
 
-    /** Within what is kept a cut answer is asked for again, as ever. */
+    /** A response short enough to be buffered is requested again when it is cut. */
     @Test
-    void asksAgainForACutAnswerThatWasKept() throws Exception {
+    void retriesACutResponseThatWasBuffered() throws Exception {
         CountDownLatch once = new CountDownLatch(1);
         script = (request, socket) -> {
             if (once.getCount() == 1) {
@@ -238,7 +238,7 @@
             write(socket, head("Content-Length: " + 32 * MEGA));
             byte[] part = new byte[MEGA];
             while (true) {
-                socket.getOutputStream().write(part); // until it breaks
+                socket.getOutputStream().write(part); // until the connection breaks
             }
         };
         try (Client client = new Client(proxy.address().getPort())) {
--- a/src/test/java/anisebend/net/LongBodyTest.java
+++ b/src/test/java/anisebend/net/LongBodyTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Bodies that are longer than what is kept without asking, and more of them than there is room for. */
+/** Request bodies longer than the size that needs no budget, and more of them than the budget holds. */
 class LongBodyTest {
     private static final double LONG = 60;
     private static final int ROOM = 1 << 20;
@@ -121,10 +121,10 @@
         awaitIdle();
     }
 
-    /** Twelve of 400 kB where two have room: the others are not read, and every one of them is served in its turn. */
+    /** Twelve bodies of 400 kB with a budget for two: the others are not read yet, and all are served in turn. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void servesMoreBodiesThanThereIsRoomFor(boolean known) throws Exception {
+    void servesMoreBodiesThanTheBudgetHolds(boolean known) throws Exception {
         String body = text(400_000);
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
         script = (request, socket) -> held.add(socket);
@@ -138,7 +138,7 @@
                 try {
                     write(client.socket, text);
                 } catch (IOException e) {
-                    return; // its answer, or the lack of one, will tell
+                    return; // its response, or the lack of one, decides the test
                 }
             });
             writer.start();
@@ -183,12 +183,12 @@
         assertEquals(1, node.requests.size());
     }
 
-    /** What has no whole body can't have run, so even what may run once only is tried again. */
+    /** A request without its whole body cannot have run, so even an unsafe one is retried. */
     @Test
-    void triesAgainWhenTheNodeBreaksOffWithinTheBody() throws Exception {
+    void retriesWhenTheNodeClosesWithinTheBody() throws Exception {
         String body = text(ROOM);
         try (ServerSocket breaking = new ServerSocket()) {
-            breaking.setReceiveBufferSize(8 << 10); // so that the body can't all be on its way
+            breaking.setReceiveBufferSize(8 << 10); // so that the body can't be sent completely
             breaking.bind(new InetSocketAddress(Loopback.HOST, 0));
             Thread breaker = new Thread(() -> {
                 try {
@@ -244,9 +244,9 @@
         assertEquals(0, node.requests.size());
     }
 
-    /** A client that waits for leave to send hears it once there is room, and not before. */
+    /** A client that waits for 100 Continue receives it once there is budget, and not before. */
     @Test
-    void letsExpectantClientsGoOnOnceThereIsRoom() throws Exception {
+    void sends100ContinueOnceThereIsBudget() throws Exception {
         String body = text(ROOM);
         try (Client first = client();
                 Client second = client()) {
--- a/src/test/java/anisebend/net/Loopback.java
+++ b/src/test/java/anisebend/net/Loopback.java
@@ -21,9 +21,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Plain blocking sockets on 127.0.0.1 that play cache nodes, discovery and clients for the tests. */
+/** Blocking sockets on 127.0.0.1 that act as cache nodes, discovery service and clients in the tests. */
 final class Loopback {
-    /** How long a test waits for what must come; it says nothing of speed. */
+    /** How long a test waits for an expected event; not a requirement on speed. */
     static final int PATIENCE_SECONDS = 30;
 
     private static final AtomicInteger REQUESTS = new AtomicInteger();
@@ -31,7 +31,7 @@
 
     private Loopback() {}
 
-    /** A message: its first line, its headers (names in lower case) and its body. */
+    /** An HTTP message: its first line, its headers (names in lower case) and its body. */
     record Message(String first, Map<String, String> headers, String body) {
         int status() {
             return Integer.parseInt(first.split(" ")[1]);
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The next message on a stream, null at its end. */
+    /** Reads the next message from a stream; null at its end. */
     static Message read(InputStream in) throws IOException {
         String first = line(in);
         if (first == null) {
@@ -73,7 +73,7 @@
         return line.toString();
     }
 
-    /** The socket is asked for its stream once: the other side may close it at the first byte. */
+    /** Gets the socket's stream only once, as the peer may close the connection at the first byte. */
     static void write(Socket socket, String text) throws IOException {
         OutputStream out = socket.getOutputStream();
         out.write(text.getBytes(StandardCharsets.UTF_8));
@@ -84,12 +84,12 @@
         return "HTTP/1.1 " + status + " X\r\n" + headers + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    /** Answers one request on its connection. */
+    /** Responds to one request on its connection. */
     interface Script {
         void answer(Message request, Socket socket) throws IOException;
     }
 
-    /** A server whose answers the test writes; it keeps what it was asked and what it saw end. */
+    /** A server with scripted responses; it records the requests it received and the connections that ended. */
     static final class Server implements AutoCloseable {
         final BlockingQueue<Message> requests = new LinkedBlockingQueue<>();
         final BlockingQueue<Socket> ended = new LinkedBlockingQueue<>();
@@ -125,7 +125,7 @@
             }
         }
 
-        /** Lets nobody in any more; who is in stays. A thread that still waits in accept would let one more in. */
+        /** Stops accepting; open connections stay. A thread still blocked in accept would accept one more. */
         void refuse() throws IOException, InterruptedException {
             listener.close();
             accepting.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Work that may meet closed sockets when the test ends. */
+    /** Work that may encounter closed sockets when the test ends. */
     interface Work {
         void run() throws IOException;
     }
@@ -154,7 +154,7 @@
             try {
                 work.run();
             } catch (IOException e) {
-                return; // the other side, or the test, has closed it
+                return; // closed by the peer or by the test
             }
         });
         thread.setDaemon(true);
@@ -178,7 +178,7 @@
             return answer();
         }
 
-        /** The next answer, null where the connection ended. */
+        /** Reads the next response; null if the connection has ended. */
         Message answer() throws IOException {
             return read(in);
         }
@@ -206,7 +206,7 @@
         return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", entries) + "]}";
     }
 
-    /** The same with a second address, as the platform tells of it. */
+    /** The same with an admin address, in the form the platform passes it. */
     static Map<String, String> served(Path folder, String discovery, int sockets, long idleMillis, String known)
             throws IOException {
         Map<String, String> env = new HashMap<>(environment(folder, discovery, sockets, idleMillis, known));
--- a/src/test/java/anisebend/net/ProxyTest.java
+++ b/src/test/java/anisebend/net/ProxyTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A whole proxy between a client, a cache node and discovery on loopback sockets. */
+/** A complete proxy between a client, a cache node and a discovery service on loopback sockets. */
 class ProxyTest {
     private static final double LONG = 60;
     private static final int SOCKETS = 100;
@@ -125,7 +125,7 @@
         }
     }
 
-    /** Bad input must never reach the module: a class or tenant that it does not know would be a fault there. */
+    /** Invalid input must never reach the module: an unknown class or tenant would be a fault there. */
     @ParameterizedTest
     @CsvSource({
         "GET, /api/k, X-Service-Class, odd, 400",
@@ -155,7 +155,7 @@
             text = text.replaceFirst("\r\n", "\r\n" + (value == null ? "" : header + ": " + value + "\r\n"));
             assertEquals(status, client.ask(text).status());
             assertEquals(status == 200 ? 1 : 0, node.requests.size());
-            // The connection is as good as before.
+            // The connection stays usable.
             assertEquals(
                     200,
                     client.ask(request("GET", "/api/k", "read", LONG, null)).status());
@@ -186,7 +186,7 @@
         }
     }
 
-    /** What may have run of an unsafe request is neither sent again nor refused: it has failed. */
+    /** An unsafe request that may have run is neither retried nor refused: it fails. */
     @ParameterizedTest
     @CsvSource({"500, ''", "503, ''", "504, ''", "503, 'X-Unprocessed: 0'", "404, ''", "0, ''", "-1, ''"})
     void failsUnsafeRequestThatMayHaveRun(int status, String header) throws Exception {
@@ -222,7 +222,7 @@
         }
     }
 
-    /** A cut answer must not reach the client as a whole one; a read may simply go out again. */
+    /** A truncated response must not reach the client as a whole one; a read may be retried. */
     @Test
     void repeatsReadWhoseAnswerWasCut() throws Exception {
         node.script = (request, socket) -> {
@@ -240,7 +240,7 @@
         }
     }
 
-    /** An answer without a length could be cut anywhere, so its end is no proof that it is whole. */
+    /** A response without a length could be truncated anywhere, so its end does not prove that it is whole. */
     @Test
     void takesAnswerWithoutLengthForCut() throws Exception {
         node.script = (request, socket) -> {
@@ -253,7 +253,7 @@
         }
     }
 
-    /** A silent node: one answer before the client's time is up, and the attempt is closed with it. */
+    /** A silent node: the client gets one answer before its deadline, and the attempt is closed with it. */
     @Test
     void failsInTimeWhenNodeIsSilent() throws Exception {
         node.script = (request, socket) -> {};
@@ -294,8 +294,8 @@
     }
 
     /**
-     * A client waits for its answer before it asks again. Of a flood in one read nothing is passed on, also what
-     * hides behind a request that is turned away; the answer is one error and a close.
+     * A client must wait for its answer before its next request. Of several requests in one read none is forwarded, not
+     * even those behind a rejected one; the answer is one error, then the connection is closed.
      */
     @ParameterizedTest
     @ValueSource(strings = {"/api/a", "/none"})
@@ -308,13 +308,13 @@
             int status = client.answer().status();
             assertTrue(status >= 400 && status < 500, "status " + status);
             while (client.answer() != null) {
-                // an error at most
+                // at most an error
             }
         }
         assertNull(node.requests.peek());
     }
 
-    /** What is taken keeps its one answer whatever is sent behind it, and nothing behind it is passed on. */
+    /** An accepted request gets its one answer whatever is sent after it, and nothing after it is forwarded. */
     @Test
     void answersTakenRequestOfClientThatSendsAhead() throws Exception {
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
@@ -323,7 +323,7 @@
             write(client.socket, request("GET", "/api/a", "read", LONG, null));
             Socket waiting = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
             write(client.socket, request("GET", "/api/b", "read", LONG, null).repeat(100));
-            try (Client other = client()) { // goes through the same loop, so what was sent ahead has been read
+            try (Client other = client()) { // same event loop, so the data sent earlier has been read
                 other.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             }
             write(waiting, answer(200, "", "first"));
@@ -335,7 +335,7 @@
         }
     }
 
-    /** Served twice under one id, one of the two would get an answer that was not made for it. */
+    /** If two requests had the same id, one of them could get the other's answer. */
     @Test
     void refusesIdThatIsOpen() throws Exception {
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
@@ -363,7 +363,7 @@
         return request.replaceFirst("X-Correlation-Id: [^\r]*", "X-Correlation-Id: " + id);
     }
 
-    /** Whatever can be read in two ways may hide a request from one of two readers: an error, then the close. */
+    /** Ambiguous messages allow request smuggling: they get an error, then the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -395,7 +395,7 @@
         assertNull(node.requests.peek());
     }
 
-    /** Half a head, half a body and silence hold a descriptor each, and must not for ever. */
+    /** Half a head, half a body and silence each hold a descriptor, and must not do so forever. */
     @ParameterizedTest
     @CsvSource({
         "'', 0",
@@ -413,7 +413,7 @@
         assertNull(node.requests.peek());
     }
 
-    /** Hundreds that connect and say nothing make room for a client that asks, also with few descriptors. */
+    /** Hundreds of silent connections give way to a client with a request, even with few descriptors. */
     @Test
     void makesRoomForClientAmongSilentOnes() throws Exception {
         List<Client> silent = new ArrayList<>();
@@ -431,7 +431,7 @@
         }
     }
 
-    /** A kept connection that the node has closed must not be written to: an unsafe request would be lost. */
+    /** Nothing may be written to a pooled connection that the node has closed: an unsafe request would be lost. */
     @Test
     void dropsConnectionsThatThePeerClosed() throws Exception {
         node.script = (request, socket) -> {
@@ -443,7 +443,7 @@
                     200,
                     client.ask(request("GET", "/api/k", "read", LONG, null)).status());
             assertNotNull(node.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            // The close has been sent before this exchange, which goes through the same loop.
+            // The close was sent before this exchange, which runs on the same event loop.
             client.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             assertEquals(
                     200, client.ask(request("PUT", "/api/k", "once", LONG, "5")).status());
@@ -460,7 +460,7 @@
         }
     }
 
-    /** Those that ask once and keep their connection must not take the places of those who would ask. */
+    /** Clients that send one request and keep their connection must not block those with new requests. */
     @Test
     void givesIdleConnectionsBackBeforeThePlacesEnd() throws Exception {
         try (Client first = start()) {
@@ -481,7 +481,7 @@
         }
     }
 
-    /** At the bound on connections the longest idle one makes room, and nothing fails. */
+    /** At the connection limit the longest idle connection is closed, and nothing fails. */
     @Test
     void makesRoomAtTheBoundOnConnections() throws Exception {
         try (Client first = start(10, IDLE_MILLIS, known())) {
@@ -502,7 +502,7 @@
         }
     }
 
-    /** With every client busy at the bound a further one waits, and is let in when one has its answer. */
+    /** With all clients busy at the limit a further one waits, and is admitted when one has its answer. */
     @Test
     void letsWaitingClientInWhenAnotherFallsIdle() throws Exception {
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
@@ -526,7 +526,7 @@
         }
     }
 
-    /** A watch that stays silent past its wait has failed, even though its connection stands. */
+    /** A watch without a response past its wait has failed, even if its connection is still open. */
     @Test
     void asksAgainWhenTheWatchIsSilent() throws Exception {
         try (Client client = start()) {
@@ -537,7 +537,7 @@
                 calls += discovery.next().first().contains("after=1") ? 1 : 0;
             }
         }
-        try (Client client = client()) { // the first one has been idle for long
+        try (Client client = client()) { // the first one has been idle for a long time
             assertEquals(
                     "value",
                     client.ask(request("GET", "/api/k", "read", LONG, null)).body());
@@ -564,7 +564,7 @@
         }
     }
 
-    /** A node that started anew has lost its connections, whether or not it could say so. */
+    /** A restarted node has lost its connections, whether or not it could close them. */
     @Test
     void discardsConnectionsOfNodeThatStartedAnew() throws Exception {
         try (Client client = start()) {
@@ -576,7 +576,7 @@
         }
     }
 
-    /** Half a list must not count: the earlier one stays whole, and the module asks again. */
+    /** A truncated list must not be applied: the earlier one stays whole, and the module retries. */
     @Test
     void keepsListWhenDiscoveryIsMalformed() throws Exception {
         try (Client client = start()) {
@@ -611,8 +611,8 @@
     }
 
     /**
-     * A new configuration names another discovery: it is asked for the whole list at once, the nodes stay until it
-     * has answered, and a broken file or the same one again changes nothing.
+     * A new configuration names another discovery service: the proxy requests the whole list there immediately and
+     * keeps the nodes until it has answered. An invalid or unchanged file changes nothing.
      */
     @Test
     void turnsToDiscoveryOfNewConfiguration() throws Exception {
@@ -640,8 +640,8 @@
     }
 
     /**
-     * Cold code makes the first seconds slow, so the proxy asks itself before it is ready. Of that nothing may
-     * reach a cache node or discovery, and a client that comes meanwhile is served as ever.
+     * Cold code makes the first seconds slow, so the proxy sends itself requests before it is ready. None of them may
+     * reach a cache node or discovery, and clients are served normally meanwhile.
      */
     @Test
     void warmsUpByItselfAlone() throws Exception {
@@ -665,7 +665,7 @@
         assertNull(discovery.requests.peek());
     }
 
-    /** Whatever clients and nodes do, nothing of a request or a connection may stay behind. */
+    /** Whatever clients and nodes do, no state of a request or connection may leak. */
     @Test
     void leavesNothingBehind() throws Exception {
         node.script = (request, socket) -> {
@@ -704,7 +704,7 @@
         }
     }
 
-    /** Clients that find none of their connections free during a drain would leave, so the last are kept free. */
+    /** Clients that find no free connection during a drain would leave, so the last ones are kept free. */
     @Test
     void aDrainKeepsTheLastConnectionsFree() throws Exception {
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
@@ -734,7 +734,7 @@
             Thread draining = new Thread(proxy::drain);
             draining.start();
             Message got = asks.ask(request("GET", "/api/k", "read", LONG, null));
-            while (got.status() == 200) { // until those who need one more connection have had their time
+            while (got.status() == 200) { // until clients that need one more connection have had time to open it
                 got = asks.ask(request("GET", "/api/k", "read", LONG, null));
             }
             assertEquals(503, got.status());
@@ -748,7 +748,7 @@
         }
     }
 
-    /** While it drains a proxy serves on until no more connections come, then closes, and finishes what it holds. */
+    /** A draining proxy serves until no more connections arrive, then closes, and finishes its open requests. */
     @Test
     void drains() throws Exception {
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
@@ -790,7 +790,7 @@
         }
     }
 
-    /** No kill comes within 3.7 s where deadlines are long, and until shortly before it clients have nobody else. */
+    /** With long deadlines no kill comes within 3.7 s, and until shortly before it clients have no other proxy. */
     @Test
     void servesUntilShortlyBeforeTheKill() throws Exception {
         try (Client client = start()) {
@@ -802,7 +802,7 @@
                 try {
                     served = client.ask(request("GET", "/api/k", "read", LONG, null)) != null;
                 } catch (IOException e) {
-                    served = false; // its close crossed the request
+                    served = false; // the close crossed the request
                 }
             }
             long stayed = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun);
@@ -811,7 +811,7 @@
         }
     }
 
-    /** A kill follows a drain in any case: what is still held then has failed, and the client is told. */
+    /** A kill follows a drain in any case: requests still open then fail, and their clients get an answer. */
     @Test
     void failsWhatIsHeldBeforeTheKill() throws Exception {
         node.script = (request, socket) -> {};
@@ -823,7 +823,7 @@
         }
     }
 
-    /** A node that has started within service shows that this is a restart, for which clients wait. */
+    /** A node that started during service indicates a restart, for which clients wait. */
     @ParameterizedTest
     @CsvSource({"0,0,true", "0,1700000000000,false"})
     void knowsWhetherTheServiceOnlyBegins(long born, long other, boolean begins) throws Exception {
--- a/src/test/java/anisebend/net/ServiceTest.java
+++ b/src/test/java/anisebend/net/ServiceTest.java
@@ -40,7 +40,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Daily service over sockets: the second address, emptying, retuning under load, an upgrade. */
+/** Operations over sockets: admin address, quiescing, reconfiguration under load, upgrades. */
 class ServiceTest {
     private static final double LONG = 60;
 
@@ -51,7 +51,7 @@
     private Server discovery;
     private Map<String, String> env;
     private final List<ProxyServer> proxies = new ArrayList<>();
-    /** Requests that the node holds until the test lets them go. */
+    /** Requests that the node holds until the test releases them. */
     private final BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
 
     @BeforeEach
@@ -100,7 +100,7 @@
                 .orElseThrow(() -> new AssertionError("no figure " + name));
     }
 
-    /** Asks again until the figure says so; a signal is heard on a thread of its own. */
+    /** Polls until the metric has the value, as signals are handled on a separate thread. */
     private static void await(ProxyServer proxy, String name, long value) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
         while (figure(proxy, name) != value) {
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Silent callers, and clients of the other address, must not keep an operator out. */
+    /** Silent admin connections and clients of the other address must not lock an operator out. */
     @Test
     void emptiesAndTakesClientsAgain() throws Exception {
         ProxyServer proxy = start();
@@ -190,7 +190,7 @@
         }
     }
 
-    /** A class changes from once to safe while a request of it is out: that one is not sent again, a new one is. */
+    /** A class changes from once to safe while a request is in flight: that one is not retried, a new one is. */
     @Test
     void anOpenRequestKeepsTheRulesItCameUnder() throws Exception {
         ProxyServer proxy = start();
@@ -257,7 +257,7 @@
         }
     }
 
-    /** Both listen at one address; the old one leaves, and whoever asks is served all the time. */
+    /** Both processes listen on one address; the old one ends while clients are served without interruption. */
     @Test
     void aNewProcessTakesOver() throws Exception {
         ProxyServer old = start();
@@ -294,7 +294,7 @@
         }
     }
 
-    /** An operator changes his mind, and the classes, while the proxy is emptied. */
+    /** An operator resumes the proxy and changes the classes while it quiesces. */
     @Test
     void isEmptiedThreeTimesAndRetunedMeanwhile() throws Exception {
         ProxyServer proxy = start();
@@ -323,7 +323,7 @@
         }
     }
 
-    /** Whoever is to end must not count on a process that has just been emptied. */
+    /** A process that is to end must not rely on one that has just been quiesced. */
     @Test
     void tellsTheOthersAtOnceThatItIsEmptied() throws Exception {
         try (Succession before = new Succession(folder.resolve("gorsemast-n0"))) {
@@ -337,7 +337,7 @@
         }
     }
 
-    /** A restart in the middle of an upgrade: nobody else takes clients yet, so the old one serves on until one does. */
+    /** A restart during an upgrade: the old process serves on until another one accepts clients. */
     @Test
     void servesOnUntilItsSuccessorTakesClients() throws Exception {
         ProxyServer old = start();
@@ -350,7 +350,7 @@
             Thread leaving = new Thread(old::drain);
             leaving.start();
             while (call(old, "health").startsWith("200")) {
-                Thread.onSpinWait(); // the signal is heard on a thread of its own
+                Thread.onSpinWait(); // the signal is handled on a separate thread
             }
             assertEquals(
                     "value",
@@ -368,7 +368,7 @@
         }
     }
 
-    /** Both are stopped by a restart while the later one still warms up: who came first may need all of its time. */
+    /** A restart stops both while the later one warms up: the earlier one may need all of its time. */
     @Test
     void endsAfterTheProcessThatCameBeforeIt() throws Exception {
         Succession before = new Succession(folder.resolve("gorsemast-n0"));
@@ -378,7 +378,7 @@
         Thread leaving = new Thread(next::drain);
         leaving.start();
         for (int i = 0; i < 5; i++) {
-            call(next, "health"); // alone it would have ended within the first of these
+            call(next, "health"); // without a predecessor it would have ended during the first of these calls
         }
         assertTrue(leaving.isAlive(), "it has ended first");
         before.close();
@@ -386,7 +386,7 @@
         assertFalse(leaving.isAlive());
     }
 
-    /** Its client reads nothing until the process has gone. */
+    /** The client reads nothing until the process has ended. */
     @Test
     void aLongAnswerOutlivesTheProcessThatHadItInHand() throws Exception {
         try (SocketChannel probe = SocketChannel.open()) {
--- a/src/test/java/anisebend/net/UpstreamTest.java
+++ b/src/test/java/anisebend/net/UpstreamTest.java
@@ -40,14 +40,14 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How attempts end, seen from the side that has to tell what ran. */
+/** How attempts to a node end, and whether the request may have run. */
 class UpstreamTest {
     private static final long LONG_MICROS = 60_000_000;
 
     private record Ended(Code code, CacheStatus note) {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final BlockingQueue<Ended> endings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Ended> outcomes = new LinkedBlockingQueue<>();
     private volatile boolean ready = true;
     private final Upstream upstream =
             new Upstream(group.next(), Upstream.CACHE_NODE_DIALECT, node -> ready, 4, 60_000, 2_000, 1);
@@ -76,11 +76,15 @@
     private Upstream.Attempt send(int port, long waitMicros, FullHttpRequest request, boolean once) throws Exception {
         return group.next()
                 .submit(() -> upstream.send(
-                        node(port), request, waitMicros, once, (code, note, got) -> endings.add(new Ended(code, note))))
+                        node(port),
+                        request,
+                        waitMicros,
+                        once,
+                        (code, note, got) -> outcomes.add(new Ended(code, note))))
                 .get();
     }
 
-    /** A write that is to run once at most. */
+    /** A write that must run at most once. */
     private FullHttpRequest once(String body) throws Exception {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1, HttpMethod.PUT, "/api/k", Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII));
@@ -89,7 +93,7 @@
     }
 
     private Ended ended() throws InterruptedException {
-        return endings.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
     }
 
     @ParameterizedTest
@@ -106,7 +110,7 @@
         "500, X-Unprocessed: 1, ERROR, NONE",
         "302, X-Other: 1, ERROR, NONE"
     })
-    void tellsOutcomesByTheProtocolsTable(int status, String header, Code code, CacheStatus note) throws Exception {
+    void mapsResponsesToOutcomes(int status, String header, Code code, CacheStatus note) throws Exception {
         try (Server server = new Server((request, socket) -> write(socket, answer(status, header + "\r\n", "v")))) {
             send(port(server), LONG_MICROS);
             assertEquals(new Ended(code, note), ended());
@@ -123,10 +127,10 @@
         assertEquals(Code.CONNECT_FAILED, ended().code());
     }
 
-    /** A machine that is cut off says nothing: both the connect time-out and the attempt's own end it. */
+    /** An unreachable machine does not respond: the connect timeout or the attempt's own deadline ends the attempt. */
     @ParameterizedTest
     @CsvSource({"60000000", "300000"})
-    void connectionThatNeverComesUpNeverRan(long waitMicros) throws Exception {
+    void requestOnAConnectionThatIsNeverEstablishedNeverRan(long waitMicros) throws Exception {
         try (ServerSocket full = new ServerSocket(0, 1, Loopback.HOST)) {
             List<Socket> waiting = fill(full);
             send(full.getLocalPort(), waitMicros);
@@ -137,7 +141,7 @@
         }
     }
 
-    /** Connects until the queue of those not accepted is full: from then on the listener says nothing to who comes. */
+    /** Fills the listener's accept queue; it does not respond to further connects. */
     private static List<Socket> fill(ServerSocket listener) throws Exception {
         List<Socket> waiting = new ArrayList<>();
         boolean silent = false;
@@ -155,11 +159,11 @@
     }
 
     /**
-     * A connection falls idle while another is coming up for the attempt that waits; that other one then fails. Whoever
-     * waits has the idle one, and is not left beside it until half of its time is over.
+     * A connection becomes idle while another one, opened for a waiting attempt, fails to connect. The attempt must use
+     * the idle connection at once, and not only after half of its time.
      */
     @Test
-    void whoWaitsHasTheIdleConnectionWhenTheOtherFails() throws Exception {
+    void waitingAttemptUsesIdleConnectionWhenItsOwnConnectFails() throws Exception {
         try (ServerSocket listener = new ServerSocket(0, 1, Loopback.HOST)) {
             send(listener.getLocalPort(), LONG_MICROS);
             try (Socket node = listener.accept()) {
@@ -179,7 +183,7 @@
     }
 
     @Test
-    void breakAfterTheLastByteMayHaveRun() throws Exception {
+    void resetAfterTheLastByteMayHaveRun() throws Exception {
         try (Server server = new Server((request, socket) -> socket.close())) {
             send(port(server), LONG_MICROS);
             assertEquals(Code.RESET, ended().code());
@@ -187,15 +191,15 @@
         }
     }
 
-    /** The node answers, and is gone before the next request on that connection, too late to be seen before it. */
+    /** The node closes the connection after its response, too late to be noticed before the next request. */
     @ParameterizedTest
     @ValueSource(strings = {"5", "amount=5"})
-    void whatMayNotRunTwiceIsKeptFromADeadConnection(String body) throws Exception {
-        CountDownLatch asked = new CountDownLatch(1);
+    void unsafeRequestIsNotSentOnADeadConnection(String body) throws Exception {
+        CountDownLatch nextSent = new CountDownLatch(1);
         try (Server server = new Server((request, socket) -> {
             write(socket, answer(200, "", "x"));
             try {
-                asked.await();
+                nextSent.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -212,13 +216,13 @@
                                 next,
                                 LONG_MICROS,
                                 true,
-                                (code, note, got) -> endings.add(new Ended(code, note)));
-                        asked.countDown();
-                        return server.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS); // while the loop is busy here
+                                (code, note, got) -> outcomes.add(new Ended(code, note)));
+                        nextSent.countDown();
+                        return server.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS); // while the event loop is blocked
                     })
                     .get();
             assertEquals(Code.NOT_SENT, ended().code());
-            group.next().schedule(() -> {}, 100, TimeUnit.MILLISECONDS).get(); // behind what was kept back
+            group.next().schedule(() -> {}, 100, TimeUnit.MILLISECONDS).get(); // after the withheld request is released
             assertEquals(0, next.refCnt());
             assertNull(server.requests.peek());
             send(port(server), LONG_MICROS, once(body), true);
@@ -227,9 +231,9 @@
         }
     }
 
-    /** A new connection that breaks while the request comes tells against the node, and that nothing ran. */
+    /** A reset of a new connection during the request counts against the node, and means that nothing ran. */
     @Test
-    void whatMayNotRunTwiceIsKeptFromANodeThatResets() throws Exception {
+    void unsafeRequestIsNotSentToANodeThatResets() throws Exception {
         try (ServerSocket resetting = new ServerSocket(0, 1, Loopback.HOST)) {
             send(resetting.getLocalPort(), LONG_MICROS, once("amount=5"), true);
             try (Socket socket = resetting.accept()) {
@@ -249,9 +253,9 @@
         }
     }
 
-    /** The drain grace counts from the first byte, so a connection that came up late is not written to. */
+    /** The drain grace counts from the first byte, so nothing is written to a connection established too late. */
     @Test
-    void withholdsWhatNodeIsNoLongerReadyFor() throws Exception {
+    void sendsNothingToANodeThatIsNoLongerReady() throws Exception {
         try (Server server = new Server((request, socket) -> {})) {
             ready = false;
             send(port(server), LONG_MICROS);
@@ -274,13 +278,13 @@
                     .get();
             assertEquals(Code.CANCELLED, ended().code());
             assertNotNull(server.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            assertNull(endings.peek());
+            assertNull(outcomes.peek());
         }
     }
 
-    /** Our own bound must not be held against a healthy node: who finds no room waits, and then is told so. */
+    /** The local connection limit must not count against a healthy node: the attempt waits, then ends as not sent. */
     @Test
-    void boundOnConnectionsLeavesAttemptsUnsent() throws Exception {
+    void connectionLimitLeavesAttemptsUnsent() throws Exception {
         try (Server server = new Server((request, socket) -> {})) {
             for (int i = 0; i < 4; i++) {
                 send(port(server), LONG_MICROS);
@@ -288,14 +292,14 @@
             }
             send(port(server), 400_000);
             assertEquals(Code.NOT_SENT, ended().code());
-            assertNull(endings.peek());
+            assertNull(outcomes.peek());
             assertEquals(4, server.connections.size());
         }
     }
 
-    /** An attempt takes the first connection that is free, though another is being opened for it. */
+    /** An attempt takes the first free connection even while another one is being opened for it. */
     @Test
-    void whoWaitsTakesTheConnectionThatIsFreedFirst() throws Exception {
+    void waitingAttemptTakesFirstFreedConnection() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         try (Server server = new Server((request, socket) -> {
             try {
@@ -320,9 +324,9 @@
         }
     }
 
-    /** The node's table is full: what it let in serves all, and the connects that fail are not held against it. */
+    /** The node accepts no more connections: the open one serves all, and failed connects do not count against it. */
     @Test
-    void failedConnectsBesideOpenOnesSayNothingOfTheNode() throws Exception {
+    void failedConnectsDoNotCountAgainstANodeWithOpenConnections() throws Exception {
         try (Server server = new Server((request, socket) -> write(socket, answer(200, "", "x")))) {
             CountDownLatch go = new CountDownLatch(1);
             server.script = (request, socket) -> {
@@ -349,12 +353,12 @@
     }
 
     /**
-     * What a node sends behind a good answer, a copy of it, noise, or half a line, must never answer the next
-     * request on that connection: the answer counts and the connection goes.
+     * What a node sends after a valid response (a duplicate, noise, or half a line) must never answer the next request
+     * on that connection: the response counts and the connection is closed.
      */
     @ParameterizedTest
     @ValueSource(strings = {"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx", "\u0001\u0002noise\r\n\r\n", "noi"})
-    void moreThanOneAnswerClosesTheConnection(String more) throws Exception {
+    void extraDataAfterAResponseClosesTheConnection(String more) throws Exception {
         try (Server server = new Server(
                 (request, socket) -> write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx" + more))) {
             send(port(server), LONG_MICROS);
@@ -366,9 +370,9 @@
         }
     }
 
-    /** Bytes that come while a connection is idle belong to no request. */
+    /** Bytes that arrive on an idle connection belong to no request. */
     @Test
-    void whatComesOnAnIdleConnectionClosesIt() throws Exception {
+    void unexpectedDataOnAnIdleConnectionClosesIt() throws Exception {
         try (Server server = new Server((request, socket) -> write(socket, answer(200, "", "x")))) {
             send(port(server), LONG_MICROS);
             assertEquals(Code.OK, ended().code());
@@ -377,7 +381,7 @@
         }
     }
 
-    /** An answer that can't be trusted has run, serves nobody and takes its connection with it. */
+    /** After a malformed response the request may have run; the response is not used and the connection is closed. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -393,7 +397,7 @@
                 "HTTP/1.1 101 Other\r\n\r\n",
                 "\u0001\u0002\u0003noise\r\n\r\n"
             })
-    void spoiltAnswerMayHaveRunAndClosesTheConnection(String text) throws Exception {
+    void malformedResponseMayHaveRunAndClosesTheConnection(String text) throws Exception {
         try (Server server = new Server((request, socket) -> write(socket, text))) {
             send(port(server), LONG_MICROS);
             assertEquals(Code.RESET, ended().code());
@@ -401,10 +405,10 @@
         }
     }
 
-    /** Some 1xx may come ahead of an answer; a row of them without end must not hold the attempt. */
+    /** Some 1xx responses may precede the final one; an endless series must not hold the attempt. */
     @ParameterizedTest
     @CsvSource({"2, OK", "1000, RESET"})
-    void skipsInterimAnswersButNotWithoutEnd(int count, Code code) throws Exception {
+    void skipsALimitedNumberOfInterimResponses(int count, Code code) throws Exception {
         try (Server server = new Server((request, socket) ->
                 write(socket, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n".repeat(count) + answer(200, "", "x")))) {
             send(port(server), LONG_MICROS);
@@ -412,10 +416,10 @@
         }
     }
 
-    /** A node that falls silent within a long answer keeps neither its connection nor its reader for ever. */
+    /** A node that stalls within a long response must not hold its connection and reader forever. */
     @Test
-    void breaksOffALongAnswerOfANodeThatFellSilent() throws Exception {
-        BlockingQueue<String> told = new LinkedBlockingQueue<>();
+    void abortsALongResponseOfANodeThatStalls() throws Exception {
+        BlockingQueue<String> events = new LinkedBlockingQueue<>();
         try (Server server = new Server((request, socket) ->
                 write(socket, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + "x".repeat(1_000)))) {
             FullHttpRequest message =
@@ -425,7 +429,7 @@
                             .send(node(port(server)), message, LONG_MICROS, false, new Upstream.AttemptListener() {
                                 @Override
                                 public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
-                                    told.add("ended " + code);
+                                    events.add("ended " + code);
                                 }
 
                                 @Override
@@ -434,7 +438,7 @@
                                         HttpResponse head,
                                         long length,
                                         ResponseSink.FlowControl flow) {
-                                    told.add("begins " + length);
+                                    events.add("begins " + length);
                                     return new ResponseSink() {
                                         @Override
                                         public void part(ByteBuf bytes) {
@@ -443,21 +447,21 @@
 
                                         @Override
                                         public void completed() {
-                                            told.add("whole");
+                                            events.add("whole");
                                         }
 
                                         @Override
                                         public void aborted() {
-                                            told.add("broken");
+                                            events.add("broken");
                                         }
                                     };
                                 }
                             }))
                     .get();
-            assertEquals("begins 1000000", told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            assertEquals("broken", told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertEquals("begins 1000000", events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
+            assertEquals("broken", events.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
             assertNotNull(server.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
-            assertTrue(told.isEmpty(), "one ending: " + told);
+            assertTrue(events.isEmpty(), "more than one outcome: " + events);
         }
     }
 }
