--- a/src/main/java/gorsemast/admission/ConcurrencyLimiter.java
+++ b/src/main/java/gorsemast/admission/ConcurrencyLimiter.java
@@ -6,138 +6,141 @@
 import java.util.Map;
 
 /**
- * Who has one of the few places for requests that take time, where sockets are short.
+ * Limits how many slow requests are served at the same time, so that sockets remain for the others.
  *
- * <p><b>Idea.</b> A request that needs another machine, or whose answer is long, holds its client's socket for as long as that takes.
- * With so few sockets that all may be held, those that come meanwhile would wait unaccepted, where nobody can see their age, answer
- * them or drop them once their clients have left; such a queue is served first in, first out, and once it is longer than its clients'
- * patience all work is for clients that have left. So places are counted here, fewer than sockets, and who finds none is refused at
- * once: the sockets beyond them turn requests around that take no time.
+ * <p>A request that needs another machine, or whose response is long, holds its client's socket meanwhile. If such
+ * requests could hold all sockets, later ones would wait in the accept queue, where their age is unknown and they can
+ * neither be answered nor dropped once their clients have left. That queue is first in, first out, and once it is
+ * longer than the clients' patience all work is done for clients that have left. So there are fewer slots than sockets,
+ * and a request that finds no free slot is refused at once; the remaining sockets serve requests that take no time.
  *
- * <p>Requests of a kind that usually hold a place for longer than their aim may have a part of the places only, so that long answers
- * alone can't take all of them. What a kind usually takes is learned from its requests.
+ * <p>Requests of a kind that usually holds a slot for longer than its target latency get only a part of the slots, so
+ * that long responses alone can't take all of them. The usual hold time is learned from earlier requests.
  *
- * <p>A kind that wants well under its fair share of the places may wait, briefly and on one of those sockets, and has the next place that
- * comes free. Who wants least goes first; who must give way to it is refused. So a kind that is seldom asked for is served beside busy ones,
- * whose clients come back again and again, and no place stands idle for it. What counts is what a kind asks for, not what it gets: of one
- * that gets little because it asks for far too much every request would wait, and that socket would turn nobody round any more.
+ * <p>A request of a kind whose demand is well under its fair share of the slots may wait briefly on one of the other
+ * sockets and gets the next slot that is released. The kind with the lowest demand goes first; a waiting request that
+ * is displaced is refused. So a rarely requested kind is served beside busy ones whose clients keep retrying, and no
+ * slot is left idle for it. Demand counts, not the slots obtained: a kind that obtains few because it requests far too
+ * much would otherwise have each of its requests wait, and their sockets could serve nobody else.
  *
- * <p><b>Could hurt</b> where requests would have waited briefly and are refused: they come back, which costs a connection; and where one
- * waits in vain, as long as it does nobody else is accepted on its socket. O(1), and O(kinds of late) where no place is free; one record
- * a kind of request; no clock, no I/O; one thread; times in microseconds.
+ * <p>Drawbacks: requests that could have waited briefly are refused and retry, which costs a connection; while a
+ * request waits in vain nobody else is accepted on its socket. O(1), and O(recent kinds) where no slot is free; one
+ * record for each kind; no clock, no I/O; one thread; times in microseconds.
  */
 public final class ConcurrencyLimiter {
-    /** Places where nothing is short: nobody is refused and nothing counted. */
+    /** Number of slots that stands for no limit: nothing is refused and nothing is counted. */
     public static final int UNBOUNDED = Integer.MAX_VALUE;
 
-    private static final double NEW_PART = 0.1;
-    /** Beyond so many kinds those that hold nothing are forgotten. */
-    private static final int MOST_KINDS = 4_096;
-    /** Over about so long what a kind asks for is averaged. */
-    private static final double OF_LATE_MICROS = 1e6;
-    /** A kind that wants fewer places on average takes no part in the shares. */
-    private static final double UNUSED = 0.01;
-    /** Who wants less than this part of its fair share may wait. */
-    private static final double LIGHT_PART = 0.5;
-    /** A request counts for so long at least: one that ends at once, as what it needs is taken, has waited no less for its place. */
-    private static final long LEAST_MICROS = 20_000;
-    /** Nobody waits longer, nor for more than half of its aim. */
-    private static final long LONGEST_WAIT_MICROS = 100_000;
+    private static final double AVERAGE_WEIGHT = 0.1;
+    /** With more kinds than this, those that hold no slot are forgotten. */
+    private static final int MAX_KINDS = 4_096;
+    /** Time constant of the average of a kind's request rate. */
+    private static final double DECAY_MICROS = 1e6;
+    /** A kind that demands fewer slots on average is not counted for the fair shares. */
+    private static final double MIN_DEMAND = 0.01;
+    /** Requests of a kind that demands less than this fraction of its fair share may wait. */
+    private static final double LOW_DEMAND_FRACTION = 0.5;
+    /** Minimum hold time for the demand: a request that fails at once, as a resource is in use, still needed a slot. */
+    private static final long MIN_HOLD_MICROS = 20_000;
+    /** Longest wait for a slot; half of the target latency is a bound too. */
+    private static final long MAX_WAIT_MICROS = 100_000;
 
     /**
-     * Requests that are alike.
+     * Requests that share their statistics and limits.
      *
-     * @param name what is known of them is kept under
-     * @param targetLatencyMicros within which their answers are wanted
-     * @param maxSlotsIfSlow places that they may hold where they usually take longer than that
+     * @param name key of the statistics
+     * @param targetLatencyMicros target latency of their responses
+     * @param maxSlotsIfSlow slots that they may hold if they usually take longer than that
      */
     public record Kind(String name, long targetLatencyMicros, int maxSlotsIfSlow) {
-        /** How long one of them may wait for a place. */
+        /** How long a request of this kind may wait for a slot. */
         public long maxWaitMicros() {
-            return Math.min(LONGEST_WAIT_MICROS, targetLatencyMicros / 2);
+            return Math.min(MAX_WAIT_MICROS, targetLatencyMicros / 2);
         }
     }
 
-    /** One request that asks for a place; told once, unless it was answered at once or withdrawn. */
+    /** Receives the decision on a queued request, once, unless the request is withdrawn or expires. */
     public interface Waiter {
-        /** It has the place that came free. */
+        /** The request has got a released slot. */
         void admitted();
 
-        /** It gives way to another. */
+        /** The request was displaced by another. */
         void refused();
     }
 
-    /** What a request is told at once. */
+    /** The immediate decision on a request. */
     public enum Admission {
-        /** It has a place, which {@link #release} gives back. */
+        /** It has a slot, which {@link #release} gives back. */
         ADMITTED,
-        /** It is told later, unless it is withdrawn. */
+        /** Its waiter is called later, unless it is withdrawn or expires. */
         QUEUED,
-        /** There is none for it. */
+        /** It gets no slot. */
         REFUSED
     }
 
-    /** What is known of a kind. */
+    /** The statistics of a kind. */
     private static final class Usage {
-        private int held;
-        /** For how long one of its requests usually has a place; no number before the first. */
-        private double usual = Double.NaN;
-        /** How many of its requests have come of late, those long ago counting less, as of then. */
-        private double asked;
+        private int slotsHeld;
+        /** Moving average of how long a request holds a slot; NaN before the first. */
+        private double averageHoldMicros = Double.NaN;
+        /** Exponentially decaying count of its requests, as of {@code countedAt}. */
+        private double requestCount;
 
-        private long askedAt;
+        private long countedAt;
 
-        private double asked(long now) {
-            return asked * Math.exp(-Math.max(0, now - askedAt) / OF_LATE_MICROS);
+        private double recentRequests(long now) {
+            return requestCount * Math.exp(-Math.max(0, now - countedAt) / DECAY_MICROS);
         }
 
-        void ask(long now) {
-            asked = asked(now) + 1;
-            askedAt = now;
+        void countRequest(long now) {
+            requestCount = recentRequests(now) + 1;
+            countedAt = now;
         }
 
-        /** How many places it would hold on average if none of its requests were refused; before that is known, those that it holds. */
-        double wanted(long now) {
-            return Double.isNaN(usual) ? held : asked(now) * Math.max(LEAST_MICROS, usual) / OF_LATE_MICROS;
+        /** Slots that it would hold on average if no request were refused; until that is known, those that it holds. */
+        double demand(long now) {
+            return Double.isNaN(averageHoldMicros)
+                    ? slotsHeld
+                    : recentRequests(now) * Math.max(MIN_HOLD_MICROS, averageHoldMicros) / DECAY_MICROS;
         }
     }
 
     private record Waiting(Kind kind, Waiter waiter) {}
 
-    private final int places;
-    private final int mostWaiting;
+    private final int slots;
+    private final int maxWaiting;
     private final Map<String, Usage> kinds = new HashMap<>();
     private final List<Waiting> queue = new ArrayList<>();
-    private int taken;
-    /** Whether one has waited in vain since a place last came free. */
-    private boolean stuck;
+    private int inUse;
+    /** Whether a request has expired since a slot was last released. */
+    private boolean expiredSinceRelease;
 
     /**
-     * For so many requests at a time.
+     * Creates a limiter.
      *
-     * @param places in all; {@link #UNBOUNDED} where nothing is short
-     * @param mostWaiting how many may wait for one
+     * @param slots number of slots; {@link #UNBOUNDED} for no limit
+     * @param maxWaiting how many requests may wait for a slot
      */
-    public ConcurrencyLimiter(int places, int mostWaiting) {
-        this.places = Math.max(1, places);
-        this.mostWaiting = mostWaiting;
+    public ConcurrencyLimiter(int slots, int maxWaiting) {
+        this.slots = Math.max(1, slots);
+        this.maxWaiting = maxWaiting;
     }
 
-    /** Asks for a place for a request; where it waits, {@code waiter} is told. */
+    /** Requests a slot; if the request is queued, {@code waiter} receives the decision. */
     public Admission acquire(Kind kind, long now, Waiter waiter) {
-        if (places == UNBOUNDED) {
+        if (slots == UNBOUNDED) {
             return Admission.ADMITTED;
         }
         Usage usage = usage(kind);
-        usage.ask(now);
-        if (usage.held >= Math.max(1, kind.maxSlotsIfSlow) && usage.usual > kind.targetLatencyMicros) {
+        usage.countRequest(now);
+        if (usage.slotsHeld >= Math.max(1, kind.maxSlotsIfSlow) && usage.averageHoldMicros > kind.targetLatencyMicros) {
             return Admission.REFUSED;
         }
-        if (taken < places) {
-            take(usage);
+        if (inUse < slots) {
+            occupySlot(usage);
             return Admission.ADMITTED;
         }
-        return !stuck && isLight(usage, now) && queue(new Waiting(kind, waiter), now)
+        return !expiredSinceRelease && hasLowDemand(usage, now) && enqueue(new Waiting(kind, waiter), now)
                 ? Admission.QUEUED
                 : Admission.REFUSED;
     }
@@ -146,100 +149,103 @@
         return kinds.computeIfAbsent(kind.name, name -> new Usage());
     }
 
-    private void take(Usage usage) {
-        taken++;
-        usage.held++;
+    private void occupySlot(Usage usage) {
+        inUse++;
+        usage.slotsHeld++;
     }
 
-    private boolean isLight(Usage usage, long now) {
+    private boolean hasLowDemand(Usage usage, long now) {
         long active = kinds.values().stream()
-                .filter(one -> one != usage && one.wanted(now) > UNUSED)
+                .filter(other -> other != usage && other.demand(now) > MIN_DEMAND)
                 .count();
-        return usage.wanted(now) < LIGHT_PART * places / (active + 1);
+        return usage.demand(now) < LOW_DEMAND_FRACTION * slots / (active + 1);
     }
 
-    /** Whether it may wait, where need be in the place of one whose kind wants more. */
-    private boolean queue(Waiting one, long now) {
-        if (queue.size() >= mostWaiting) {
-            Waiting heaviest = heaviest(now);
-            if (heaviest == null || wanted(heaviest, now) <= wanted(one, now)) {
+    /** Queues the request, if need be in place of one whose kind has more demand; returns whether it is queued. */
+    private boolean enqueue(Waiting request, long now) {
+        if (queue.size() >= maxWaiting) {
+            Waiting highest = highestDemand(now);
+            if (highest == null || demandOf(highest, now) <= demandOf(request, now)) {
                 return false;
             }
-            queue.remove(heaviest);
-            queue.add(one);
-            heaviest.waiter.refused();
+            queue.remove(highest);
+            queue.add(request);
+            highest.waiter.refused();
         } else {
-            queue.add(one);
+            queue.add(request);
         }
         return true;
     }
 
-    private double wanted(Waiting one, long now) {
-        return usage(one.kind).wanted(now);
+    private double demandOf(Waiting request, long now) {
+        return usage(request.kind).demand(now);
     }
 
-    private Waiting heaviest(long now) {
-        Waiting heaviest = null;
-        for (Waiting one : queue) {
-            if (heaviest == null || wanted(one, now) > wanted(heaviest, now)) {
-                heaviest = one;
+    private Waiting highestDemand(long now) {
+        Waiting highest = null;
+        for (Waiting request : queue) {
+            if (highest == null || demandOf(request, now) > demandOf(highest, now)) {
+                highest = request;
             }
         }
-        return heaviest;
+        return highest;
     }
 
-    private Waiting lightest(long now) {
-        Waiting lightest = null;
-        for (Waiting one : queue) {
-            if (lightest == null || wanted(one, now) < wanted(lightest, now)) {
-                lightest = one;
+    private Waiting lowestDemand(long now) {
+        Waiting lowest = null;
+        for (Waiting request : queue) {
+            if (lowest == null || demandOf(request, now) < demandOf(lowest, now)) {
+                lowest = request;
             }
         }
-        return lightest;
+        return lowest;
     }
 
-    /** A request waits no longer, as its client has left; it is not told any more. Returns whether it waited. */
+    /** Removes a queued request whose client has left; its waiter is not called. Returns whether it was queued. */
     public boolean withdraw(Waiter waiter) {
-        return queue.removeIf(one -> one.waiter == waiter);
+        return queue.removeIf(request -> request.waiter == waiter);
     }
 
     /**
-     * A request has waited for as long as it may; it is not told any more. Returns whether it waited. Where no place comes free in such a
-     * time the next ones would wait in vain too, each on a socket that turns others round: they are refused until one does.
+     * Removes a queued request that has waited for its maximum time; its waiter is not called. Returns whether it was
+     * queued. As no slot was released in that time, the next requests would wait in vain too, each on a socket that
+     * could serve others: until a slot is released no request is queued.
      */
     public boolean expire(Waiter waiter) {
-        boolean waited = withdraw(waiter);
-        stuck |= waited;
-        return waited;
+        boolean wasQueued = withdraw(waiter);
+        expiredSinceRelease |= wasQueued;
+        return wasQueued;
     }
 
-    /** A place that was taken for a request is free again after so long. */
+    /** Releases the slot of a request, which it held for this long. */
     public void release(Kind kind, long heldMicros, long now) {
-        if (places == UNBOUNDED) {
+        if (slots == UNBOUNDED) {
             return;
         }
-        taken--;
-        stuck = false;
+        inUse--;
+        expiredSinceRelease = false;
         Usage usage = usage(kind);
-        usage.held--;
-        usage.usual = Double.isNaN(usage.usual) ? heldMicros : usage.usual + NEW_PART * (heldMicros - usage.usual);
-        if (kinds.size() > MOST_KINDS) {
-            kinds.values().removeIf(one -> one.held == 0);
+        usage.slotsHeld--;
+        usage.averageHoldMicros = Double.isNaN(usage.averageHoldMicros)
+                ? heldMicros
+                : usage.averageHoldMicros + AVERAGE_WEIGHT * (heldMicros - usage.averageHoldMicros);
+        if (kinds.size() > MAX_KINDS) {
+            kinds.values().removeIf(usageOfKind -> usageOfKind.slotsHeld == 0);
         }
-        Waiting next = lightest(now);
+        Waiting next = lowestDemand(now);
         if (next != null) {
             queue.remove(next);
-            take(usage(next.kind));
+            occupySlot(usage(next.kind));
             next.waiter.admitted();
         }
     }
 
-    /** How many places are taken. */
+    /** Returns the number of slots in use. */
     public int slotsInUse() {
-        return taken;
+        return inUse;
     }
 
-    /** How many requests wait for one. */
+    /** Returns the number of queued requests. */
     public int waiting() {
         return queue.size();
     }
--- a/src/main/java/gorsemast/admission/ConnectionAdmission.java
+++ b/src/main/java/gorsemast/admission/ConnectionAdmission.java
@@ -6,175 +6,178 @@
 import java.util.Map;
 
 /**
- * The places for clients' connections, and who gives his up when they run short.
+ * Limits the number of clients' connections, and selects those to close when capacity runs short.
  *
- * <p><b>Idea.</b> A connection on which nothing is asked takes a place on both sides: here, and among those that the
- * client's machine may hold. Once clients that ask once and keep their connection have taken all of them, whoever
- * would ask finds none, while this process idles; nothing in it can tell, as what never arrives is not counted. So
- * idle connections are given back long before the places end: beyond {@link #IDLE_PART} of them the one that has been
- * idle longest goes for each that comes. The same is done under other names by event-driven servers that reuse
- * their idle connections when these run short. At the bound itself those go first that never asked or were turned away
- * last, then the longest idle; where there is none of these, nobody more is let in.
+ * <p>An idle connection occupies capacity on both sides: here, and among those that the client's machine may hold. Once
+ * clients that send one request and keep their connection have taken all of it, other clients find none although this
+ * process is idle, and nothing in it can notice, as requests that never arrive are not counted. So idle connections are
+ * closed long before the limit: beyond {@link #IDLE_CLOSE_FRACTION} of the capacity each new connection closes the one
+ * that has been idle longest, as event-driven servers do that reuse their idle connections when these run short. At the
+ * limit itself those that never sent a request or whose last one was rejected go first, then the longest idle; if there
+ * is none of these, no further connection is accepted.
  *
- * <p>In a drain nobody new comes in for long, and a client that finds all of its connections in use needs one more: it
- * would turn to a proxy that may not be back yet, and never ask here again. So idle ones stay, and the last of them are
- * kept free by turning requests away ({@link #mustRefuseInDrain}).
+ * <p>During a drain new connections are accepted only briefly. A client that finds all of its connections in use needs
+ * one more: it would turn to a proxy that may not be back yet, and send no request here again. So idle connections
+ * stay, and the last of them are kept free by refusing requests ({@link #mustRefuseInDrain}).
  *
- * <p><b>When it could hurt.</b> A client whose connection goes pays for another. Where many clients each ask seldom,
- * more places (descriptors) are the remedy. While the process drains, idle ones stay: their clients could not come
- * back.
+ * <p>Drawbacks: a client whose connection is closed pays for another client's. Where many clients each send requests
+ * seldom, a larger capacity (descriptors) is the remedy. During a drain idle connections stay, as their clients could
+ * not connect again.
  *
- * <p><b>Bounds.</b> {@code setCapacity} connections; each call is O(1) but for those that close.
+ * <p>Holds at most {@code setCapacity} connections; each call is O(1) but for those that select connections to close.
  *
- * @param <G> a connection, compared by identity of its {@code equals}
+ * @param <C> a connection, compared by its {@code equals}
  */
-public final class ConnectionAdmission<G> {
-    /** The part of the places from which on idle connections make room before there is need. */
-    static final double IDLE_PART = 0.625;
-    /** In a drain so many connections on which anything was asked are kept free: this part, so many at least, half at most. */
-    static final double FREE_PART = 0.25;
-
-    static final int FREE_LEAST = 8;
-    /** From so long after a drain began, in microseconds; until then those who need one more may still come in. */
-    static final long LAST_ARRIVALS_MICROS = 200_000;
-    /** Whoever was answered no longer ago than this is likely to ask again at once, and keeps his place. */
-    static final long YOUNG_MICROS = 50_000;
-    /** Who says nothing for this long is the first to go when there is need, in microseconds. */
+public final class ConnectionAdmission<C> {
+    /** Fraction of the capacity in use from which on idle connections are closed. */
+    static final double IDLE_CLOSE_FRACTION = 0.625;
+    /** Fraction of the connections that sent a request to keep idle in a drain; at most half of them. */
+    static final double DRAIN_IDLE_FRACTION = 0.25;
+    /** Minimum number of connections to keep idle in a drain, within the same half. */
+    static final int DRAIN_IDLE_MIN = 8;
+    /** Time after the start of a drain within which clients may still open connections, in microseconds. */
+    static final long DRAIN_ACCEPT_MICROS = 200_000;
+    /** A connection answered within this time is likely to get another request at once, and is not closed as idle. */
+    static final long RECENTLY_ANSWERED_MICROS = 50_000;
+    /** A new or rejected connection silent for this long is the first to be closed at the limit, in microseconds. */
     static final long SILENT_MICROS = 200_000;
 
-    private enum Standing {
+    private enum State {
         NEW,
         IDLE,
         BUSY,
-        TURNED_AWAY
+        REJECTED
     }
 
-    /** By standing, each in the order in which they came to it, with the time of that. */
-    private final List<Map<G, Long>> rows = new ArrayList<>();
+    /** For each state the connections in it, in the order in which they entered it, with that time. */
+    private final List<Map<C, Long>> connectionsByState = new ArrayList<>();
 
-    private final Map<G, Standing> standings = new LinkedHashMap<>();
-    private int places;
+    private final Map<C, State> states = new LinkedHashMap<>();
+    private int capacity;
     private boolean draining;
-    private long drainSince;
+    private long drainStart;
 
-    /** A door to {@code setCapacity} connections, at least 1. */
-    public ConnectionAdmission(int places) {
-        this.places = Math.max(1, places);
-        for (Standing ignored : Standing.values()) {
-            rows.add(new LinkedHashMap<>());
+    /** Admits up to {@code capacity} connections, at least 1. */
+    public ConnectionAdmission(int capacity) {
+        this.capacity = Math.max(1, capacity);
+        for (State ignored : State.values()) {
+            connectionsByState.add(new LinkedHashMap<>());
         }
     }
 
-    /** Changes the number of places; who is in stays until somebody must go. */
-    public void setCapacity(int atMost) {
-        places = Math.max(1, atMost);
+    /** Changes the capacity; open connections stay until {@link #connectionsToClose} selects them. */
+    public void setCapacity(int connections) {
+        capacity = Math.max(1, connections);
     }
 
-    /** From now on idle connections stay for as long as there is room. */
+    /** Starts a drain: idle connections stay as long as there is capacity. */
     public void drain(long now) {
         draining = true;
-        drainSince = now;
+        drainStart = now;
     }
 
-    /** Somebody came, who has not asked for anything yet. */
-    public void opened(long now, G guest) {
-        enter(now, guest, Standing.NEW);
+    /** Records a new connection, which has sent no request yet. */
+    public void opened(long now, C connection) {
+        changeState(now, connection, State.NEW);
     }
 
-    /** A whole request of this one is in hand. */
-    public void requestReceived(long now, G guest) {
-        enter(now, guest, Standing.BUSY);
+    /** Records that a whole request was received. */
+    public void requestReceived(long now, C connection) {
+        changeState(now, connection, State.BUSY);
     }
 
-    /** It has its answer and may ask again. */
-    public void responseSent(long now, G guest) {
-        enter(now, guest, Standing.IDLE);
+    /** Records that the response was sent and another request may follow. */
+    public void responseSent(long now, C connection) {
+        changeState(now, connection, State.IDLE);
     }
 
-    /** It has sent what can't be taken, and was told so. */
-    public void rejected(long now, G guest) {
-        enter(now, guest, Standing.TURNED_AWAY);
+    /** Records that a request was rejected as unacceptable. */
+    public void rejected(long now, C connection) {
+        changeState(now, connection, State.REJECTED);
     }
 
-    /** It has gone; unknown ones are ignored. */
-    public void closed(G guest) {
-        Standing before = standings.remove(guest);
+    /** Removes a closed connection; unknown ones are ignored. */
+    public void closed(C connection) {
+        State before = states.remove(connection);
         if (before != null) {
-            row(before).remove(guest);
+            inState(before).remove(connection);
         }
     }
 
-    /** How many are in. */
+    /** Returns the number of connections. */
     public int size() {
-        return standings.size();
+        return states.size();
     }
 
-    /** Whether anybody more may come in. */
+    /** Returns whether another connection may be accepted. */
     public boolean hasCapacity() {
-        return size() < places;
+        return size() < capacity;
     }
 
     /**
-     * Those that must go now, the least missed first. They count until {@link #closed} is called for them, which
-     * the caller does when it closes them; a second call before that may name them again.
+     * Selects the connections to close now, the least useful first. They count until the caller closes them and calls
+     * {@link #closed}; a second call before that may select them again.
      */
-    public List<G> connectionsToClose(long now) {
-        List<G> gone = new ArrayList<>(0);
-        int over = size() - places + 1;
+    public List<C> connectionsToClose(long now) {
+        List<C> selected = new ArrayList<>(0);
+        int over = size() - capacity + 1;
         if (over > 0) {
-            silent(now, Standing.TURNED_AWAY, size(), gone);
-            silent(now, Standing.NEW, size(), gone);
-            oldest(now, over - gone.size(), gone);
+            selectSilent(now, State.REJECTED, size(), selected);
+            selectSilent(now, State.NEW, size(), selected);
+            selectLongestIdle(now, over - selected.size(), selected);
         }
         if (!draining) {
-            int asked = size() - row(Standing.NEW).size();
-            oldest(now - YOUNG_MICROS, asked - (int) (places * IDLE_PART) - gone.size(), gone);
+            int withRequests = size() - inState(State.NEW).size();
+            selectLongestIdle(
+                    now - RECENTLY_ANSWERED_MICROS,
+                    withRequests - (int) (capacity * IDLE_CLOSE_FRACTION) - selected.size(),
+                    selected);
         }
-        return gone;
+        return selected;
     }
 
     /**
-     * Whether, in a drain, so few connections are free that a request must be turned away to keep one so. Nobody new
-     * comes in then: a client that finds all of its connections in use would need another, can't have it, and turns
-     * to a proxy that may not be back yet; so the last ones are worth more than the answers for which they would wait.
+     * Returns whether, in a drain, so few connections are idle that a request must be refused to keep one idle. No
+     * connection is accepted then: a client that finds all of its connections in use can't open another and turns to a
+     * proxy that may not be back yet, so the last idle ones are worth more than the responses they would wait for.
      *
-     * @param worthy whether it is of the worthiest class, for which half of that part may be used
+     * @param mostImportant whether it is of the most important class, which may use half of the idle connections kept
      */
-    public boolean mustRefuseInDrain(long now, boolean worthy) {
-        if (!draining || now - drainSince <= LAST_ARRIVALS_MICROS) {
+    public boolean mustRefuseInDrain(long now, boolean mostImportant) {
+        if (!draining || now - drainStart <= DRAIN_ACCEPT_MICROS) {
             return false;
         }
-        int idle = row(Standing.IDLE).size();
-        int asked = idle + row(Standing.BUSY).size();
-        double free = Math.min(asked / 2.0, Math.max(FREE_LEAST, FREE_PART * asked));
-        return idle < (worthy ? free / 2 : free);
+        int idle = inState(State.IDLE).size();
+        int withRequests = idle + inState(State.BUSY).size();
+        double idleWanted = Math.min(withRequests / 2.0, Math.max(DRAIN_IDLE_MIN, DRAIN_IDLE_FRACTION * withRequests));
+        return idle < (mostImportant ? idleWanted / 2 : idleWanted);
     }
 
-    private void enter(long now, G guest, Standing standing) {
-        closed(guest);
-        standings.put(guest, standing);
-        row(standing).put(guest, now);
+    private void changeState(long now, C connection, State state) {
+        closed(connection);
+        states.put(connection, state);
+        inState(state).put(connection, now);
     }
 
-    private Map<G, Long> row(Standing standing) {
-        return rows.get(standing.ordinal());
+    private Map<C, Long> inState(State state) {
+        return connectionsByState.get(state.ordinal());
     }
 
-    private void silent(long now, Standing standing, int atMost, List<G> into) {
-        for (Map.Entry<G, Long> guest : row(standing).entrySet()) {
-            if (now - guest.getValue() <= SILENT_MICROS || into.size() >= atMost) {
-                return; // the others came later
+    private void selectSilent(long now, State state, int atMost, List<C> into) {
+        for (Map.Entry<C, Long> connection : inState(state).entrySet()) {
+            if (now - connection.getValue() <= SILENT_MICROS || into.size() >= atMost) {
+                return; // the others entered this state later
             }
-            into.add(guest.getKey());
+            into.add(connection.getKey());
         }
     }
 
-    /** Those that have been idle since {@code before} or longer, the longest first. */
-    private void oldest(long before, int wanted, List<G> into) {
+    /** Adds up to {@code wanted} connections that have been idle since {@code before}, the longest idle first. */
+    private void selectLongestIdle(long before, int wanted, List<C> into) {
         int left = wanted;
-        for (Map.Entry<G, Long> idle : row(Standing.IDLE).entrySet()) {
+        for (Map.Entry<C, Long> idle : inState(State.IDLE).entrySet()) {
             if (left <= 0 || idle.getValue() > before) {
-                return; // the others came later
+                return; // the others entered this state later
             }
             if (!into.contains(idle.getKey())) {
                 into.add(idle.getKey());
--- a/src/main/java/gorsemast/admission/RetryDelay.java
+++ b/src/main/java/gorsemast/admission/RetryDelay.java
@@ -19,13 +19,13 @@
     /** Added to the wait if everything is refused. */
     static final long MOST_MICROS = 400_000;
     /** Weight of each finished request in the average, which so covers about the last hundred. */
-    private static final double NEW_PART = 0.01;
+    private static final double AVERAGE_WEIGHT = 0.01;
 
     private double refused;
 
     /** Records an answered request. */
     public void recordServed() {
-        refused -= NEW_PART * refused;
+        refused -= AVERAGE_WEIGHT * refused;
     }
 
     /**
@@ -35,7 +35,7 @@
      * @param draw a random number from 0 to 1
      */
     public long recordRefused(long wait, double draw) {
-        refused += NEW_PART * (1 - refused);
+        refused += AVERAGE_WEIGHT * (1 - refused);
         return (long) ((wait + FIRST_MICROS + refused * (MOST_MICROS - FIRST_MICROS)) * (0.5 + draw));
     }
 
--- a/src/main/java/gorsemast/pool/ConnectionPools.java
+++ b/src/main/java/gorsemast/pool/ConnectionPools.java
@@ -5,216 +5,216 @@
 import java.util.SplittableRandom;
 
 /**
- * The pools of connections to all nodes, under one bound.
+ * Decides when to open connections to the nodes: one pool for each node, and one limit for all.
  *
- * <p><b>Idea.</b> New connections are work that begets work: each costs its node a handshake and a place in its
- * table, and when a table is full a crowd that dials again at once keeps it full. So an attempt that finds no free
- * connection waits for the next one, freed or new, whichever is first; at most as many are opened at a time as are
- * open already, {@link #FIRST} at the least, which doubles a pool each round trip and no faster. What a node has let
- * in is learned: a connect that fails while others are open says that there is no room for more, not that the node
- * is down. From then on the pool stays at what it holds and tries one more after an interval that failures double up
- * to {@link #LONGEST_MICROS}, drawn with jitter so that many processes do not dial in step; each that comes up widens
- * it by one. This is the additive increase and multiplicative back-off of TCP's congestion control (RFC 5681),
- * applied to connections; the jitter is that of the project's sleepers.
+ * <p>Opening connections costs a node handshakes and table entries, and when its table is full, many clients that
+ * reconnect at once keep it full. So an attempt that finds no free connection waits for the next one that is released
+ * or comes up, whichever is first. At most as many are opened at a time as are open already, {@link #MIN_CONNECTING} at
+ * the least, which doubles a pool each round trip and no faster. The number that a node accepts is learned: a connect
+ * that fails while others are open means that the node accepts no more, not that it is down. From then on the pool
+ * stays at its size and tries one more after an interval that failures double up to {@link #MAX_INTERVAL_MICROS}, with
+ * jitter so that many processes don't reconnect in step; each connection that comes up raises the limit by one. This is
+ * the additive increase and multiplicative back-off of TCP's congestion control (RFC 5681), applied to connections; the
+ * jitter is that of the project's adaptive interval.
  *
- * <p>A pool is kept at the number lately in use at once, which is forgotten by half each {@link #HALF_LIFE_MICROS}:
- * where a node closes connections often, the next request must not pay for it. Connections opened ahead are earned,
- * one for each {@link #USES_PER_SPARE} uses, so that nothing is dialled for a node that only fails.
+ * <p>A pool is kept at the peak number in use, which decays by half each {@link #HALF_LIFE_MICROS}: where a node closes
+ * connections often, the next request must not pay for it. Spare connections are opened only one for each {@link
+ * #USES_PER_SPARE} uses, so that none are opened to a node that only fails.
  *
- * <p>When nearly all places are taken a node that holds more than twice its share gets no more while it has any.
+ * <p>When nearly the whole limit is in use, a node that holds more than twice its share gets no more while it has any.
  *
- * <p><b>When it could hurt.</b> A node whose listener drops every second connect for another reason than a full
- * table is held to fewer connections than it could serve, and requests wait for these.
+ * <p>Drawback: a node whose listener drops every second connect for another reason than a full table is held to fewer
+ * connections than it could serve, and requests wait for these.
  *
- * <p><b>Bounds.</b> O(1) a call but for {@link #nodeWithMostIdle}; one small record a node until {@link #removeNode}.
+ * <p>O(1) a call but for {@link #nodeWithMostIdle}; one small record for each node until {@link #removeNode}.
  */
 public final class ConnectionPools {
-    /** So many may come up at a time for a node to which none is open. */
-    static final int FIRST = 4;
+    /** Number of connections that may be opened at a time to a node to which none is open. */
+    static final int MIN_CONNECTING = 4;
 
-    static final long SHORTEST_MICROS = 100_000;
-    static final long LONGEST_MICROS = 2_000_000;
+    static final long MIN_INTERVAL_MICROS = 100_000;
+    static final long MAX_INTERVAL_MICROS = 2_000_000;
     static final long HALF_LIFE_MICROS = 2_000_000;
     static final int USES_PER_SPARE = 5;
-    private static final double SPARES_SAVED = 4;
-    private static final double SCARCE = 0.9;
+    private static final double MAX_SPARE_CREDIT = 4;
+    private static final double SCARCE_FRACTION = 0.9;
 
     /** What an attempt that found no free connection may do. */
     public enum OpenDecision {
         /** Open one more. */
         OPEN,
-        /** Wait for one that is coming up or in use. */
+        /** Wait for one that is being opened or in use. */
         WAIT,
-        /** All places are taken and none of them is this node's. */
+        /** The limit is reached and none of the connections goes to this node. */
         NONE
     }
 
     private static final class Pool {
         int open;
-        int opening;
+        int connecting;
         int inUse;
-        /** What the node has let in, once it has refused more. */
-        int bound = Integer.MAX_VALUE;
-        /** This process's part of what the node lets in from all callers together. */
-        int part = Integer.MAX_VALUE;
+        /** Learned number of connections that the node accepts; no limit until it has refused one. */
+        int learnedLimit = Integer.MAX_VALUE;
+        /** This process's share of the connections that the node accepts from all processes. */
+        int sharedLimit = Integer.MAX_VALUE;
 
-        long interval;
-        long trialAt;
-        double usual;
-        long usualAt;
-        double spares;
-        /** Its node has left; the last connection takes this record along. */
-        boolean left;
+        long trialInterval;
+        long nextTrial;
+        double peakInUse;
+        long peakAt;
+        double spareCredit;
+        /** Whether the node was removed; this record goes with its last connection. */
+        boolean removed;
     }
 
     private final Map<String, Pool> pools = new HashMap<>();
     private final SplittableRandom random;
-    private int atMost;
+    private int limit;
     private int total;
 
-    /** Pools that hold {@code atMost} connections together, coming up or open; at least 1. */
-    public ConnectionPools(int atMost, SplittableRandom random) {
+    /** Creates pools that hold up to {@code limit} connections together, being opened or open; at least 1. */
+    public ConnectionPools(int limit, SplittableRandom random) {
         this.random = random;
-        setLimit(atMost);
+        setLimit(limit);
     }
 
-    /** Changes the bound; those above it stay until their owner closes them. */
+    /** Changes the limit; connections above it stay until their owner closes them. */
     public void setLimit(int connections) {
-        atMost = Math.max(1, connections);
+        limit = Math.max(1, connections);
     }
 
-    /** Whether another may be opened for a node for which {@code waiting} attempts, this one among them, wait. */
+    /** Decides whether to open another to a node for which {@code waiting} attempts wait, this one included. */
     public OpenDecision decideOpen(long now, String node, int waiting) {
         Pool pool = pool(node);
-        if (pool.opening >= waiting || pool.opening >= Math.max(FIRST, pool.open)) {
+        if (pool.connecting >= waiting || pool.connecting >= Math.max(MIN_CONNECTING, pool.open)) {
             return OpenDecision.WAIT;
         }
-        int held = pool.open + pool.opening;
-        if (held >= pool.part || held >= pool.bound && now < pool.trialAt) {
+        int held = pool.open + pool.connecting;
+        if (held >= pool.sharedLimit || held >= pool.learnedLimit && now < pool.nextTrial) {
             return OpenDecision.WAIT;
         }
-        if (total >= atMost) {
+        if (total >= limit) {
             return held > 0 ? OpenDecision.WAIT : OpenDecision.NONE;
         }
-        if (held > 0 && total >= SCARCE * atMost && held >= Math.max(1, 2 * atMost / pools.size())) {
+        if (held > 0 && total >= SCARCE_FRACTION * limit && held >= Math.max(1, 2 * limit / pools.size())) {
             return OpenDecision.WAIT;
         }
         return OpenDecision.OPEN;
     }
 
-    /** Bounds the connections to one node, where many processes share what it lets in; at least 1. */
+    /** Limits the connections to one node whose capacity many processes share; at least 1. */
     public void setNodeLimit(String node, int connections) {
-        pool(node).part = Math.max(1, connections);
+        pool(node).sharedLimit = Math.max(1, connections);
     }
 
-    /** When a node that lets no more in is to be tried again, in the caller's time; 0 where nothing is known. */
+    /** Returns when to try one more connection to a node at its limit, in the caller's time; 0 if no limit is known. */
     public long nextTrialAt(String node) {
         Pool pool = pools.get(node);
-        return pool == null || pool.bound == Integer.MAX_VALUE ? 0 : pool.trialAt;
+        return pool == null || pool.learnedLimit == Integer.MAX_VALUE ? 0 : pool.nextTrial;
     }
 
-    /** Whether to open one before it is asked for; the caller opens it if so. */
+    /** Returns whether to open a spare connection; the caller opens it if so. */
     public boolean shouldOpenSpare(long now, String node) {
         Pool pool = pool(node);
-        boolean wanted = pool.opening == 0
-                && pool.spares >= 1
-                && pool.open < Math.ceil(usual(now, pool) - 0.5)
+        boolean wanted = pool.connecting == 0
+                && pool.spareCredit >= 1
+                && pool.open < Math.ceil(decayedPeak(now, pool) - 0.5)
                 && decideOpen(now, node, 1) == OpenDecision.OPEN
-                && total < SCARCE * atMost;
+                && total < SCARCE_FRACTION * limit;
         if (wanted) {
-            pool.spares--;
+            pool.spareCredit--;
         }
         return wanted;
     }
 
-    /** A connection is being opened. */
+    /** Records that a connection is being opened. */
     public void connectStarted(long now, String node) {
         Pool pool = pool(node);
-        pool.opening++;
+        pool.connecting++;
         total++;
-        if (pool.open + pool.opening > pool.bound) {
-            pool.trialAt = now + pool.interval;
+        if (pool.open + pool.connecting > pool.learnedLimit) {
+            pool.nextTrial = now + pool.trialInterval;
         }
     }
 
-    /** It has come up. */
+    /** Records that a connection was opened. */
     public void connected(String node) {
         Pool pool = pool(node);
-        pool.opening--;
+        pool.connecting--;
         pool.open++;
-        if (pool.open > pool.bound) {
-            pool.bound = pool.open;
-            pool.interval = SHORTEST_MICROS;
-            pool.trialAt = 0;
+        if (pool.open > pool.learnedLimit) {
+            pool.learnedLimit = pool.open;
+            pool.trialInterval = MIN_INTERVAL_MICROS;
+            pool.nextTrial = 0;
         }
     }
 
-    /** It has not come up. Returns whether that tells of the node itself, as nothing else is open to it. */
+    /** Records a failed connect. Returns whether it counts against the node itself, as nothing else is open to it. */
     public boolean connectFailed(long now, String node) {
         Pool pool = pool(node);
-        pool.opening--;
+        pool.connecting--;
         total--;
-        drop(node, pool);
+        forgetIfUnused(node, pool);
         if (pool.open == 0) {
-            pool.bound = Integer.MAX_VALUE;
+            pool.learnedLimit = Integer.MAX_VALUE;
             return true;
         }
-        pool.bound = pool.open;
-        double next = Math.min(LONGEST_MICROS, Math.max(SHORTEST_MICROS, 2 * pool.interval));
-        pool.interval = (long) (next * (0.7 + 0.6 * random.nextDouble()));
-        pool.trialAt = now + pool.interval;
+        pool.learnedLimit = pool.open;
+        double next = Math.min(MAX_INTERVAL_MICROS, Math.max(MIN_INTERVAL_MICROS, 2 * pool.trialInterval));
+        pool.trialInterval = (long) (next * (0.7 + 0.6 * random.nextDouble()));
+        pool.nextTrial = now + pool.trialInterval;
         return false;
     }
 
-    /** An open one has closed; the attempt on it has been told of by {@link #released}, or will be. */
+    /** Records that an open connection was closed; for its attempt {@link #released} is called before or after. */
     public void closed(String node) {
         Pool pool = pool(node);
         pool.open--;
         total--;
-        drop(node, pool);
+        forgetIfUnused(node, pool);
     }
 
-    /** An attempt goes onto a connection. */
+    /** Records that an attempt uses a connection. */
     public void acquired(long now, String node) {
         Pool pool = pool(node);
         pool.inUse++;
-        pool.usual = Math.max(usual(now, pool), pool.inUse);
-        pool.usualAt = now;
+        pool.peakInUse = Math.max(decayedPeak(now, pool), pool.inUse);
+        pool.peakAt = now;
     }
 
-    /** The connection is free again. */
+    /** Records that an attempt no longer uses its connection. */
     public void released(String node) {
         Pool pool = pools.get(node);
         if (pool == null) {
-            return; // it has left, and its last connection was closed under this attempt
+            return; // the node was removed, and its last connection was closed during this attempt
         }
         pool.inUse--;
-        pool.spares = Math.min(SPARES_SAVED, pool.spares + 1.0 / USES_PER_SPARE);
+        pool.spareCredit = Math.min(MAX_SPARE_CREDIT, pool.spareCredit + 1.0 / USES_PER_SPARE);
     }
 
-    /** How many are open to a node. */
+    /** Returns the number of open connections to a node. */
     public int openCount(String node) {
         Pool pool = pools.get(node);
         return pool == null ? 0 : pool.open;
     }
 
-    /** How many are coming up for a node. */
+    /** Returns the number of connections being opened to a node. */
     public int connectingCount(String node) {
         Pool pool = pools.get(node);
-        return pool == null ? 0 : pool.opening;
+        return pool == null ? 0 : pool.connecting;
     }
 
-    /** How many are open or coming up in all. */
+    /** Returns the number of connections open or being opened to all nodes. */
     public int total() {
         return total;
     }
 
-    /** Whether the bound is reached. */
+    /** Returns whether the limit is reached. */
     public boolean isFull() {
-        return total >= atMost;
+        return total >= limit;
     }
 
-    /** The node with most connections that nobody uses, which can give one up; null where there is none. */
+    /** Returns the node with the most unused connections, one of which can be closed; null if there is none. */
     public String nodeWithMostIdle() {
         String most = null;
         int idle = 0;
@@ -228,22 +228,22 @@
         return most;
     }
 
-    /** The node has left; what is still open to it is told of as before and forgotten with the last. */
+    /** Removes a node; its open connections are reported as before, and it is forgotten with the last of them. */
     public void removeNode(String node) {
         Pool pool = pools.get(node);
         if (pool != null) {
-            pool.left = true;
-            drop(node, pool);
+            pool.removed = true;
+            forgetIfUnused(node, pool);
         }
     }
 
-    private void drop(String node, Pool pool) {
-        if (pool.left && pool.open + pool.opening == 0) {
+    private void forgetIfUnused(String node, Pool pool) {
+        if (pool.removed && pool.open + pool.connecting == 0) {
             pools.remove(node);
         }
     }
 
-    /** How many nodes are known. */
+    /** Returns the number of known nodes. */
     int nodes() {
         return pools.size();
     }
@@ -252,7 +252,7 @@
         return pools.computeIfAbsent(node, name -> new Pool());
     }
 
-    private static double usual(long now, Pool pool) {
-        return pool.usual * Math.pow(0.5, (double) (now - pool.usualAt) / HALF_LIFE_MICROS);
+    private static double decayedPeak(long now, Pool pool) {
+        return pool.peakInUse * Math.pow(0.5, (double) (now - pool.peakAt) / HALF_LIFE_MICROS);
     }
 }
--- a/src/main/java/gorsemast/retention/BodyBudget.java
+++ b/src/main/java/gorsemast/retention/BodyBudget.java
@@ -8,123 +8,127 @@
 import java.util.Map;
 
 /**
- * Room for the bodies of requests that are kept until they have an answer, shared by all that are too long to be kept
- * without asking.
+ * Allots memory for request bodies that are buffered until they have a response, shared by all bodies that are too long
+ * to be buffered without a reservation.
  *
- * <p><b>Idea.</b> Whoever finds no room waits, and is not read from meanwhile: its time only counts from its last byte,
- * so waiting costs it nothing but the wait, where turning it away would cost the request. Rooms are handed out in the
- * order of asking, which starves nobody. A body whose length is known gets all of its room before its first byte is
- * read, so that those that have begun can always end. One whose length is not known asks again as it grows; two of them
- * could wait for each other for ever, so only one grows at a time (the ordered acquisition of deadlock prevention), and
- * it goes before those that wait to begin.
+ * <p>A request that finds no memory waits, and is not read from meanwhile. Its time only counts from its last byte, so
+ * waiting costs it nothing but the wait, while a refusal would cost the request. Reservations are granted in order, so
+ * that none starves. A body of known length gets all of its memory before its first byte is read, so that bodies once
+ * begun can always be completed. One of unknown length reserves again as it grows; two of them could wait for each
+ * other for ever, so only one grows at a time (the ordered acquisition of deadlock prevention), and it goes before
+ * those that wait to begin.
  *
- * <p><b>When it could hurt.</b> A slow body of unknown length holds back the others of its kind: its sender's own time
- * limit is the bound. A long body at the head of the row holds back shorter ones that would fit.
+ * <p>Drawbacks: a slow body of unknown length holds back the others of its kind, for as long as its sender's own time
+ * limit allows. A long body at the head of the queue holds back shorter ones that would fit.
  *
- * <p><b>Bounds.</b> One entry for each that holds or waits; O(1) a call but for those let in. One thread.
+ * <p>One entry for each request that holds memory or waits; O(1) a call but for the requests admitted. One thread.
  *
- * @param <G> a request that keeps its body, compared by identity of its {@code equals}
+ * @param <R> a request with a buffered body, whose {@code equals} compares identity
  */
-public final class BodyBudget<G> {
-    private record Wish<G>(G guest, long bytes) {}
+public final class BodyBudget<R> {
+    private record Reservation<R>(R request, long bytes) {}
 
-    private final long most;
-    private final Map<G, Long> held = new HashMap<>();
-    private final Deque<Wish<G>> begin = new ArrayDeque<>();
-    private final Deque<Wish<G>> grow = new ArrayDeque<>();
-    private long used;
-    private G grower;
+    private final long capacity;
+    private final Map<R, Long> reservedBytes = new HashMap<>();
+    private final Deque<Reservation<R>> waitingToBegin = new ArrayDeque<>();
+    private final Deque<Reservation<R>> waitingToGrow = new ArrayDeque<>();
+    private long reserved;
+    private R growing;
 
-    /** Room for so many bytes in all. */
+    /** Creates a budget of this many bytes. */
     public BodyBudget(long capacity) {
-        this.most = capacity;
+        this.capacity = capacity;
     }
 
-    /** The longest body that can ever be kept. */
+    /** Returns the length of the longest body that can be buffered. */
     public long capacity() {
-        return most;
+        return capacity;
     }
 
-    /** How many bytes are handed out. */
+    /** Returns the number of reserved bytes. */
     public long reserved() {
-        return used;
+        return reserved;
     }
 
-    /** How many wait for room. */
+    /** Returns the number of requests that wait for memory. */
     public int waiting() {
-        return begin.size() + grow.size();
+        return waitingToBegin.size() + waitingToGrow.size();
     }
 
     /**
-     * Asks for all the room of a body whose length is known, once.
+     * Reserves all the memory of a body of known length; called once.
      *
-     * @param bytes {@link #capacity} at most
-     * @return whether it has it; else {@link #release} names it when it does
+     * @param bytes at most {@link #capacity}
+     * @return whether it is granted; if not, a later {@link #release} returns the request
      */
-    public boolean reserve(G guest, long bytes) {
-        if (grow.isEmpty() && begin.isEmpty() && fits(bytes)) {
-            take(guest, bytes);
+    public boolean reserve(R request, long bytes) {
+        if (waitingToGrow.isEmpty() && waitingToBegin.isEmpty() && fits(bytes)) {
+            grant(request, bytes);
             return true;
         }
-        begin.addLast(new Wish<>(guest, bytes));
+        waitingToBegin.addLast(new Reservation<>(request, bytes));
         return false;
     }
 
     /**
-     * Asks for room of so many bytes in all for a body whose length is not known, again each time it has outgrown it.
+     * Reserves this many bytes in all for a body of unknown length; called again each time the body outgrows them.
      *
-     * @param bytes {@link #capacity} at most
-     * @return whether it has it; else {@link #release} names it when it does
+     * @param bytes at most {@link #capacity}
+     * @return whether it is granted; if not, a later {@link #release} returns the request
      */
-    public boolean growTo(G guest, long bytes) {
-        if ((grower == null || grower == guest) && fits(bytes - held.getOrDefault(guest, 0L))) {
-            grower = guest;
-            take(guest, bytes);
+    public boolean growTo(R request, long bytes) {
+        if ((growing == null || growing == request) && fits(bytes - reservedBytes.getOrDefault(request, 0L))) {
+            growing = request;
+            grant(request, bytes);
             return true;
         }
-        if (grower == guest) {
-            grow.addFirst(new Wish<>(guest, bytes));
+        if (growing == request) {
+            waitingToGrow.addFirst(new Reservation<>(request, bytes));
         } else {
-            grow.addLast(new Wish<>(guest, bytes));
+            waitingToGrow.addLast(new Reservation<>(request, bytes));
         }
         return false;
     }
 
-    /** It keeps nothing any more, or has left the row; returns those that have what they asked for now. */
-    public List<G> release(G guest) {
-        Long had = held.remove(guest);
-        used -= had == null ? 0 : had;
-        begin.removeIf(wish -> wish.guest() == guest);
-        grow.removeIf(wish -> wish.guest() == guest);
-        if (grower == guest) {
-            grower = null;
+    /** Frees the memory of a request or removes it from the queue; returns the requests that are granted memory now. */
+    public List<R> release(R request) {
+        Long before = reservedBytes.remove(request);
+        reserved -= before == null ? 0 : before;
+        waitingToBegin.removeIf(reservation -> reservation.request() == request);
+        waitingToGrow.removeIf(reservation -> reservation.request() == request);
+        if (growing == request) {
+            growing = null;
         }
-        List<G> in = new ArrayList<>(0);
-        while (!grow.isEmpty()
-                && (grower == null || grower == grow.peekFirst().guest())
-                && fits(grow.peekFirst().bytes()
-                        - held.getOrDefault(grow.peekFirst().guest(), 0L))) {
-            Wish<G> wish = grow.pollFirst();
-            grower = wish.guest();
-            take(wish.guest(), wish.bytes());
-            in.add(wish.guest());
+        List<R> granted = new ArrayList<>(0);
+        while (!waitingToGrow.isEmpty()
+                && (growing == null || growing == waitingToGrow.peekFirst().request())
+                && fits(waitingToGrow.peekFirst().bytes()
+                        - reservedBytes.getOrDefault(waitingToGrow.peekFirst().request(), 0L))) {
+            Reservation<R> reservation = waitingToGrow.pollFirst();
+            growing = reservation.request();
+            grant(reservation.request(), reservation.bytes());
+            granted.add(reservation.request());
         }
-        // One that is growing and waits has what comes free; one that only waits to be the grower holds nobody up.
-        boolean kept = grower != null && !grow.isEmpty() && grow.peekFirst().guest() == grower;
-        while (!kept && !begin.isEmpty() && fits(begin.peekFirst().bytes())) {
-            Wish<G> wish = begin.pollFirst();
-            take(wish.guest(), wish.bytes());
-            in.add(wish.guest());
+        // A growing body that waits gets all freed memory; one that only waits for its turn to grow holds up nobody.
+        boolean growthBlocked = growing != null
+                && !waitingToGrow.isEmpty()
+                && waitingToGrow.peekFirst().request() == growing;
+        while (!growthBlocked
+                && !waitingToBegin.isEmpty()
+                && fits(waitingToBegin.peekFirst().bytes())) {
+            Reservation<R> reservation = waitingToBegin.pollFirst();
+            grant(reservation.request(), reservation.bytes());
+            granted.add(reservation.request());
         }
-        return in;
+        return granted;
     }
 
     private boolean fits(long bytes) {
-        return used + bytes <= most;
+        return reserved + bytes <= capacity;
     }
 
-    private void take(G guest, long bytes) {
-        Long had = held.put(guest, bytes);
-        used += bytes - (had == null ? 0 : had);
+    private void grant(R request, long bytes) {
+        Long before = reservedBytes.put(request, bytes);
+        reserved += bytes - (before == null ? 0 : before);
     }
 }
--- a/src/main/java/gorsemast/retention/SendBufferHandoff.java
+++ b/src/main/java/gorsemast/retention/SendBufferHandoff.java
@@ -8,64 +8,64 @@
 import java.util.Set;
 
 /**
- * Which long answers are handed to the system when the process is about to end, as their clients read too slowly to have
- * them in time.
+ * Selects the long responses to hand over to the kernel when the process is about to end and their clients read too
+ * slowly to receive them in time.
  *
- * <p><b>Idea.</b> What a socket's send buffer holds is delivered after the process has gone. While a process serves, the
- * buffers stay as the system sizes them, since what they hold is memory too and a slow client would get more of it than
- * it needs. One that leaves gives each answer in hand a buffer that takes its rest, so that it can end its part at once.
- * There is a bound for all of them. The shortest rests come first, as that saves the most answers for the same room; what
- * has been given stays given.
+ * <p>The contents of a socket's send buffer are delivered after the process has ended. While a process serves, the
+ * buffers stay as the system sizes them, since they are memory too and a slow client would get more of it than it
+ * needs. A process that shuts down gives each response in flight a buffer for its remaining bytes, so that it can
+ * finish its part at once. All of them share one limit. The shortest remainders come first, as that saves the most
+ * responses for the same memory; what has been granted stays granted.
  *
- * <p><b>When it could hurt.</b> The room is the kernel's and is not seen in the process's own memory. A client that never
- * reads keeps it until the system's own limit on connections whose process is gone ends it.
+ * <p>Drawback: the memory is the kernel's and doesn't show in that of the process. A client that never reads keeps it
+ * until the system's own limit on connections without a process ends it.
  *
- * <p><b>Bounds.</b> O(n log n) for n long answers in hand; one thread; no I/O.
+ * <p>O(n log n) for n long responses in flight; one thread; no I/O.
  *
- * @param <G> an answer on its way
+ * @param <R> a response in flight
  */
-public final class SendBufferHandoff<G> {
-    private final long most;
-    private final long each;
-    private final Set<G> given = new HashSet<>();
-    private long used;
+public final class SendBufferHandoff<R> {
+    private final long totalLimit;
+    private final long responseLimit;
+    private final Set<R> handedOver = new HashSet<>();
+    private long granted;
 
     /**
-     * @param most bytes for all answers together
-     * @param each bytes that one may have; a longer rest is not worth beginning with
+     * @param totalLimit bytes for all responses together
+     * @param responseLimit bytes for one response; a longer remainder is not handed over
      */
-    public SendBufferHandoff(long most, long each) {
-        this.most = most;
-        this.each = each;
+    public SendBufferHandoff(long totalLimit, long responseLimit) {
+        this.totalLimit = totalLimit;
+        this.responseLimit = responseLimit;
     }
 
     /**
-     * Whose rest is to be handed over now, of all that are in hand and have had nothing yet.
+     * Selects the responses to hand over now, from those in flight that were not selected before.
      *
-     * @param rests the bytes that are still to come from the node, negative where that is not known
+     * @param remaining the bytes still to come from the node for each response, negative if unknown
      */
-    public List<G> select(Map<G, Long> rests) {
-        List<G> chosen = new ArrayList<>();
-        List<G> waiting = new ArrayList<>(rests.keySet());
-        waiting.removeAll(given);
-        waiting.sort(Comparator.comparingLong(g -> room(rests.get(g))));
-        for (G answer : waiting) {
-            long room = room(rests.get(answer));
-            if (room <= each && used + room <= most) {
-                used += room;
-                given.add(answer);
-                chosen.add(answer);
+    public List<R> select(Map<R, Long> remaining) {
+        List<R> chosen = new ArrayList<>();
+        List<R> candidates = new ArrayList<>(remaining.keySet());
+        candidates.removeAll(handedOver);
+        candidates.sort(Comparator.comparingLong(r -> bufferSize(remaining.get(r))));
+        for (R response : candidates) {
+            long size = bufferSize(remaining.get(response));
+            if (size <= responseLimit && granted + size <= totalLimit) {
+                granted += size;
+                handedOver.add(response);
+                chosen.add(response);
             }
         }
         return chosen;
     }
 
-    private long room(long rest) {
-        return rest < 0 ? each : rest;
+    private long bufferSize(long remainder) {
+        return remainder < 0 ? responseLimit : remainder;
     }
 
-    /** The answer is out of this process's hands, or has ended; what the system holds of it still counts. */
-    public void finished(G answer) {
-        given.remove(answer);
+    /** Forgets a response that was handed over completely or has ended; its buffered bytes still count. */
+    public void finished(R response) {
+        handedOver.remove(response);
     }
 }
--- a/src/main/java/gorsemast/retune/ClassNumbering.java
+++ b/src/main/java/gorsemast/retune/ClassNumbering.java
@@ -10,10 +10,10 @@
 /**
  * Assigns the numbers by which the decision module knows request classes, across all configurations of a process.
  *
- * <p>Requests in flight when a configuration changes continue under the rules with which they started. So the rules of a
- * number never change: a new class and a class with changed rules get a new number, and a removed class keeps its number
- * without a name. Rules that existed before under the same name get their number back, with everything learned under it,
- * so that switching between two configurations costs nothing.
+ * <p>Requests in flight when a configuration changes continue under the rules with which they started. So the rules of
+ * a number never change: a new class and a class with changed rules get a new number, and a removed class keeps its
+ * number without a name. Rules that existed before under the same name get their number back, with everything learned
+ * under it, so that switching between two configurations costs nothing.
  *
  * <p>There are at most {@link #MAX_CLASSES} numbers; a configuration that needs more is rejected until a restart.
  * Immutable.
@@ -35,7 +35,8 @@
     /**
      * The numbering of an initial configuration, in its order.
      *
-     * @throws IllegalArgumentException if there is no class, a name is duplicate or there are more than {@link #MAX_CLASSES}
+     * @throws IllegalArgumentException if there is no class, a name is duplicate or there are more than
+     *     {@link #MAX_CLASSES}
      */
     public static ClassNumbering of(List<String> names, List<RequestClass> rules) {
         return new ClassNumbering(List.of(), List.of(), Map.of()).with(names, rules);
--- a/src/main/java/gorsemast/retune/ConfigurationShape.java
+++ b/src/main/java/gorsemast/retune/ConfigurationShape.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Rejects a truncated configuration file, as half a file can be valid JSON. The next configuration must have every key of
- * the present one, at every depth; each object of a list must have the keys that all present ones share. Values may
+ * Rejects a truncated configuration file, as half a file can be valid JSON. The next configuration must have every key
+ * of the present one, at every depth; each object of a list must have the keys that all present ones share. Values may
  * differ in any way; they are validated elsewhere.
  *
  * <p>Removing a key for good therefore needs a restart of the proxies.
--- a/src/test/java/gorsemast/admission/ConnectionAdmissionTest.java
+++ b/src/test/java/gorsemast/admission/ConnectionAdmissionTest.java
@@ -29,9 +29,9 @@
     @Test
     void idleOnesGoLongBeforeThePlacesEnd() {
         idle(0, KEPT);
-        assertEquals(List.of(), door.connectionsToClose(now + ConnectionAdmission.YOUNG_MICROS));
+        assertEquals(List.of(), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
         idle(KEPT, KEPT + 2);
-        assertEquals(List.of("c0", "c1"), door.connectionsToClose(now + ConnectionAdmission.YOUNG_MICROS));
+        assertEquals(List.of("c0", "c1"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
     @Test
@@ -40,7 +40,7 @@
         door.requestReceived(now, "c0");
         door.responseSent(now, "c0");
         idle(KEPT, KEPT + 1);
-        assertEquals(List.of("c1"), door.connectionsToClose(now + ConnectionAdmission.YOUNG_MICROS));
+        assertEquals(List.of("c1"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
     @Test
@@ -48,7 +48,7 @@
         idle(0, KEPT + 2);
         door.requestReceived(now, "c0");
         door.requestReceived(now, "c1");
-        assertEquals(List.of("c2", "c3"), door.connectionsToClose(now + ConnectionAdmission.YOUNG_MICROS));
+        assertEquals(List.of("c2", "c3"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
     /** Clients of a draining process can't come back, so their connections stay while there is room. */
@@ -107,7 +107,8 @@
         door.setCapacity(4);
         assertEquals(
                 List.of("c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7"),
-                door.connectionsToClose(now + ConnectionAdmission.YOUNG_MICROS).subList(0, 8));
+                door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS)
+                        .subList(0, 8));
     }
 
     /** Whatever happens: who is busy is never named, nobody is named twice, and what is over is named if idle. */
@@ -164,9 +165,9 @@
         assertFalse(door.mustRefuseInDrain(0, false), "no drain");
         door.drain(0);
         assertFalse(
-                door.mustRefuseInDrain(ConnectionAdmission.LAST_ARRIVALS_MICROS, false),
+                door.mustRefuseInDrain(ConnectionAdmission.DRAIN_ACCEPT_MICROS, false),
                 "who needs one more may still come");
-        long later = ConnectionAdmission.LAST_ARRIVALS_MICROS + 1;
+        long later = ConnectionAdmission.DRAIN_ACCEPT_MICROS + 1;
         assertFalse(door.mustRefuseInDrain(later, false), "a quarter is free");
         door.requestReceived(later, 0);
         assertTrue(door.mustRefuseInDrain(later, false));
@@ -181,7 +182,7 @@
 
     @Test
     void aSmallDrainKeepsSomeFreeTooAndServesOn() {
-        for (int guests : new int[] {1, 2, 5, 2 * ConnectionAdmission.FREE_LEAST}) {
+        for (int guests : new int[] {1, 2, 5, 2 * ConnectionAdmission.DRAIN_IDLE_MIN}) {
             ConnectionAdmission<Integer> small = new ConnectionAdmission<>(100);
             small.drain(0);
             answered(small, guests);
@@ -203,7 +204,7 @@
         door.responseSent(1_000, 3);
         door.responseSent(2_000, 4);
         assertEquals(List.of(), door.connectionsToClose(1_000), "beyond the part that idle ones may hold, yet young");
-        assertEquals(List.of(3), door.connectionsToClose(1_000 + ConnectionAdmission.YOUNG_MICROS));
-        assertEquals(List.of(3, 4), door.connectionsToClose(2_000 + ConnectionAdmission.YOUNG_MICROS));
+        assertEquals(List.of(3), door.connectionsToClose(1_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+        assertEquals(List.of(3, 4), door.connectionsToClose(2_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 }
--- a/src/test/java/gorsemast/pool/ConnectionPoolsTest.java
+++ b/src/test/java/gorsemast/pool/ConnectionPoolsTest.java
@@ -42,15 +42,15 @@
     /** A burst doubles the pool each round trip; all at once would be a storm of handshakes. */
     @Test
     void burstsOpenAtABoundedPace() {
-        assertEquals(ConnectionPools.FIRST, grow(NODE, 30));
-        for (int i = 0; i < ConnectionPools.FIRST; i++) {
+        assertEquals(ConnectionPools.MIN_CONNECTING, grow(NODE, 30));
+        for (int i = 0; i < ConnectionPools.MIN_CONNECTING; i++) {
             pools.connected(NODE);
         }
-        assertEquals(ConnectionPools.FIRST, grow(NODE, 26));
-        for (int i = 0; i < ConnectionPools.FIRST; i++) {
+        assertEquals(ConnectionPools.MIN_CONNECTING, grow(NODE, 26));
+        for (int i = 0; i < ConnectionPools.MIN_CONNECTING; i++) {
             pools.connected(NODE);
         }
-        assertEquals(2 * ConnectionPools.FIRST, grow(NODE, 22));
+        assertEquals(2 * ConnectionPools.MIN_CONNECTING, grow(NODE, 22));
     }
 
     @Test
@@ -70,7 +70,7 @@
         long last = 0;
         for (int i = 0; i < 8; i++) {
             long trial = pools.nextTrialAt(NODE) - now;
-            assertTrue(trial <= ConnectionPools.LONGEST_MICROS * 1.3, "trial after " + trial);
+            assertTrue(trial <= ConnectionPools.MAX_INTERVAL_MICROS * 1.3, "trial after " + trial);
             assertTrue(i > 3 || trial > last, "trials further apart: " + last + ", " + trial);
             last = trial;
             now = pools.nextTrialAt(NODE);
