--- a/src/test/java/anisebend/AdapterTest.java
+++ b/src/test/java/anisebend/AdapterTest.java
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void carriesARequestToItsAnswer() throws IOException {
+    void dispatchesARequestUntilItsResult() throws IOException {
         StringBuilder out = new StringBuilder();
         String result =
                 """
@@ -70,36 +70,36 @@
     }
 
     @Test
-    void endsCleanlyWithTheInput() throws IOException {
+    void exitsCleanlyAtEndOfInput() throws IOException {
         assertEquals(0, run("", new StringBuilder()));
     }
 
     @Test
-    void namesTheLineAndTheFault() throws IOException {
-        assertFault("{\"event_type\":\"sync\",\"clock_ms\":1,\"frame\":1}\n{\"event_type\":", "line 2: ");
-        assertFault("{\"event_type\":\"go\"}\n", "line 1: go outside a batch");
-        assertFault("[]\n", "line 1: a message must be an object");
-        assertFault("{\"frame\":1}\n", "line 1: message without event_type");
-        assertFault("{\"event_type\":\"sync\",\"clock_ms\":1,\"frame\":1}\n", "input ends inside a batch");
+    void reportsTheLineAndTheError() throws IOException {
+        assertError("{\"event_type\":\"sync\",\"clock_ms\":1,\"frame\":1}\n{\"event_type\":", "line 2: ");
+        assertError("{\"event_type\":\"go\"}\n", "line 1: go outside a batch");
+        assertError("[]\n", "line 1: a message must be an object");
+        assertError("{\"frame\":1}\n", "line 1: message without event_type");
+        assertError("{\"event_type\":\"sync\",\"clock_ms\":1,\"frame\":1}\n", "input ends inside a batch");
         String sync = "{\"event_type\":\"sync\",\"clock_ms\":1,\"frame\":1}\n";
-        assertFault(sync + sync, "line 2: sync inside a batch");
-        assertFault(
+        assertError(sync + sync, "line 2: sync inside a batch");
+        assertError(
                 sync + "{\"event_type\":\"bell\",\"proxy_id\":1,\"nonce\":1}\n",
                 "line 2: bell for an instance that has not begun");
-        assertFault(BEGIN + ASK.replace("\"xid\":\"r1\",", ""), "line 7: ask without xid");
-        assertFault(BEGIN + ASK.replace("\"kind\":0", "\"kind\":\"x\""), "line 7: kind must be an integer");
-        assertFault(BEGIN + ASK.replace("\"ask\"", "\"axe\""), "line 7: unknown event axe");
-        assertFault(BEGIN.replace("read_like", "other"), "unknown repeat \"other\"");
+        assertError(BEGIN + ASK.replace("\"xid\":\"r1\",", ""), "line 7: ask without xid");
+        assertError(BEGIN + ASK.replace("\"kind\":0", "\"kind\":\"x\""), "line 7: kind must be an integer");
+        assertError(BEGIN + ASK.replace("\"ask\"", "\"axe\""), "line 7: unknown event axe");
+        assertError(BEGIN.replace("read_like", "other"), "unknown repeat \"other\"");
     }
 
-    private void assertFault(String input, String message) throws IOException {
+    private void assertError(String input, String message) throws IOException {
         assertEquals(1, run(input, new StringBuilder()), input);
         assertTrue(errors.contains(message), errors);
         assertEquals(1, errors.lines().count(), errors);
     }
 
     @Test
-    void reportsAFaultOfTheModuleAsFatal() throws IOException {
+    void reportsAnErrorOfTheModuleAsFatal() throws IOException {
         StringBuilder out = new StringBuilder();
         assertEquals(1, run(BEGIN.replace("\"send_cap\":3", "\"send_cap\":0"), out));
         assertTrue(out.toString().contains("\"event_type\":\"fatal\",\"proxy_id\":3,\"text\":"), out.toString());
--- a/src/test/java/anisebend/AdaptiveIntervalTest.java
+++ b/src/test/java/anisebend/AdaptiveIntervalTest.java
@@ -7,12 +7,12 @@
 import org.junit.jupiter.api.Test;
 
 class AdaptiveIntervalTest {
-    private final AdaptiveInterval sleeper = new AdaptiveInterval(new SplittableRandom(1), 100, 1600);
+    private final AdaptiveInterval interval = new AdaptiveInterval(new SplittableRandom(1), 100, 1600);
 
     @Test
     void growsFromZeroToTheUnjitteredInitialInterval() {
-        sleeper.increase();
-        assertEquals(100, sleeper.currentInterval);
+        interval.increase();
+        assertEquals(100, interval.currentInterval);
     }
 
     @Test
@@ -20,10 +20,10 @@
         long least = Long.MAX_VALUE;
         long most = 0;
         for (int i = 0; i < 1000; i++) {
-            sleeper.currentInterval = 100;
-            sleeper.increase();
-            least = Math.min(least, sleeper.currentInterval);
-            most = Math.max(most, sleeper.currentInterval);
+            interval.currentInterval = 100;
+            interval.increase();
+            least = Math.min(least, interval.currentInterval);
+            most = Math.max(most, interval.currentInterval);
         }
         assertTrue(least >= 140 && least < 145, "200 less 30 percent, was " + least);
         assertTrue(most <= 260 && most > 255, "200 and 30 percent, was " + most);
@@ -32,39 +32,39 @@
     @Test
     void isCapped() {
         for (int i = 0; i < 20; i++) {
-            sleeper.increase();
+            interval.increase();
         }
-        assertEquals(1600, sleeper.currentInterval);
+        assertEquals(1600, interval.currentInterval);
     }
 
     @Test
     void countsSuccessesOnlyWhilePacedAndKeepsThemThroughFailures() {
-        sleeper.recordSuccess();
-        assertEquals(0, sleeper.successes);
-        sleeper.increase();
-        sleeper.recordSuccess();
-        sleeper.increase();
-        assertEquals(1, sleeper.successes);
+        interval.recordSuccess();
+        assertEquals(0, interval.successes);
+        interval.increase();
+        interval.recordSuccess();
+        interval.increase();
+        assertEquals(1, interval.successes);
     }
 
     @Test
     void stepsDownAfterCountedSuccessesAndResetsTheCount() {
-        sleeper.currentInterval = 1000;
+        interval.currentInterval = 1000;
         for (int i = 1; i < AdaptiveInterval.SUCCESS_THRESHOLD; i++) {
-            sleeper.recordSuccess();
-            assertEquals(1000, sleeper.currentInterval);
+            interval.recordSuccess();
+            assertEquals(1000, interval.currentInterval);
         }
-        sleeper.recordSuccess();
-        assertTrue(sleeper.currentInterval >= 350 && sleeper.currentInterval <= 650, "500 with 30 percent");
-        assertEquals(0, sleeper.successes);
+        interval.recordSuccess();
+        assertTrue(interval.currentInterval >= 350 && interval.currentInterval <= 650, "500 with 30 percent");
+        assertEquals(0, interval.successes);
     }
 
     @Test
     void stepsToZeroBelowTheInitialInterval() {
-        sleeper.currentInterval = 120;
+        interval.currentInterval = 120;
         for (int i = 0; i < AdaptiveInterval.SUCCESS_THRESHOLD; i++) {
-            sleeper.recordSuccess();
+            interval.recordSuccess();
         }
-        assertEquals(0, sleeper.currentInterval);
+        assertEquals(0, interval.currentInterval);
     }
 }
--- a/src/test/java/anisebend/World.java
+++ b/src/test/java/anisebend/BalancerHarness.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A balancer under test with a clock: runs timers when due and answers the sends as a test says. */
-final class World {
+/** Runs a balancer with a virtual clock: fires its timers when due and answers its sends as the test specifies. */
+final class BalancerHarness {
     static final int READ = 0;
     static final int CHARGE = 1;
     static final int SAVE = 2;
@@ -21,22 +21,23 @@
     private int timersSeen;
     long now = 1_000_000;
 
-    World(boolean aside) {
+    BalancerHarness(boolean aside) {
         this(aside, 7);
     }
 
-    World(boolean aside, long seed) {
+    BalancerHarness(boolean aside, long seed) {
         this(aside, seed, settings(aside));
     }
 
-    World(boolean aside, long seed, Balancer.Settings settings) {
+    BalancerHarness(boolean aside, long seed, Balancer.Settings settings) {
         this.aside = aside;
         recorder.now = now;
         balancer.start(now, seed, settings);
         collectTimers();
     }
 
-    static Balancer.Settings rationed(Balancer.Settings s, double free, double share, long span) {
+    static Balancer.Settings withResendLimit(
+            Balancer.Settings s, double freeResends, double resendShare, long resendSpan) {
         return new Balancer.Settings(
                 s.balancers(),
                 s.zone(),
@@ -53,9 +54,9 @@
                 s.listAskWithin(),
                 s.coldShare(),
                 s.coldTime(),
-                free,
-                share,
-                span);
+                freeResends,
+                resendShare,
+                resendSpan);
     }
 
     static Balancer.Settings settings(boolean aside) {
@@ -85,15 +86,15 @@
                 0);
     }
 
-    private static Balancer.RequestClass type(Balancer.Effect effect, Balancer.Group group, double worth) {
-        return new Balancer.RequestClass(effect, group, 900 * MS, 500 * MS, 2000 * MS, worth);
+    private static Balancer.RequestClass type(Balancer.Effect effect, Balancer.Group group, double importance) {
+        return new Balancer.RequestClass(effect, group, 900 * MS, 500 * MS, 2000 * MS, importance);
     }
 
     static Balancer.Server server(String id, Balancer.State state, long startedAt) {
         return new Balancer.Server(id, id.charAt(0) % 2, id.startsWith("origin") ? 1 : 0, 0, state, 1, startedAt);
     }
 
-    World list(Balancer.ListKind kind, String... ids) {
+    BalancerHarness list(Balancer.ListKind kind, String... ids) {
         List<Balancer.Server> entries = new ArrayList<>();
         for (String id : ids) {
             entries.add(server(id, Balancer.State.READY, 0));
@@ -101,41 +102,41 @@
         return list(kind, entries);
     }
 
-    World list(Balancer.ListKind kind, List<Balancer.Server> entries) {
+    BalancerHarness list(Balancer.ListKind kind, List<Balancer.Server> entries) {
         balancer.servers(now, kind, entries);
         collectTimers();
         return this;
     }
 
-    World ask(String id, int type, String key) {
+    BalancerHarness ask(String id, int type, String key) {
         return ask(id, type, key, 0);
     }
 
-    World ask(String id, int type, String key, int tenant) {
+    BalancerHarness ask(String id, int type, String key, int tenant) {
         balancer.request(now, new Balancer.Request(id, type, tenant, key, now + 2000 * MS, type != READ));
         collectTimers();
         return this;
     }
 
-    World answer(String id, Balancer.Code code) {
+    BalancerHarness answer(String id, Balancer.Code code) {
         return answer(id, code, 50 * MS);
     }
 
-    World answer(String id, Balancer.Code code, long elapsed) {
+    BalancerHarness answer(String id, Balancer.Code code, long elapsed) {
         return answer(id, code, elapsed, Balancer.CacheStatus.NONE);
     }
 
-    World answer(String id, Balancer.Code code, long elapsed, Balancer.CacheStatus note) {
+    BalancerHarness answer(String id, Balancer.Code code, long elapsed, Balancer.CacheStatus status) {
         long attempts =
                 recorder.sent.stream().filter(s -> s.request().equals(id)).count();
         boolean over = code == Balancer.Code.OK;
-        balancer.outcome(now, new Balancer.Outcome(id, (int) attempts - 1, code, elapsed, over, note, null));
+        balancer.outcome(now, new Balancer.Outcome(id, (int) attempts - 1, code, elapsed, over, status, null));
         collectTimers();
         return this;
     }
 
-    /** Lets time pass, running the timers that fall due. */
-    World pass(long micros) {
+    /** Advances the clock and fires the timers that fall due. */
+    BalancerHarness pass(long micros) {
         long end = now + micros;
         while (!timers.isEmpty() && timers.firstKey() <= end) {
             now = Math.max(now, timers.firstKey());
--- a/src/test/java/anisebend/BalancingPolicyTest.java
+++ b/src/test/java/anisebend/BalancingPolicyTest.java
@@ -1,10 +1,10 @@
 package anisebend;
 
-import static anisebend.World.CHARGE;
-import static anisebend.World.MS;
-import static anisebend.World.READ;
-import static anisebend.World.SAVE;
-import static anisebend.World.SAVE_IN_ZONE;
+import static anisebend.BalancerHarness.CHARGE;
+import static anisebend.BalancerHarness.MS;
+import static anisebend.BalancerHarness.READ;
+import static anisebend.BalancerHarness.SAVE;
+import static anisebend.BalancerHarness.SAVE_IN_ZONE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -26,11 +26,11 @@
 import org.junit.jupiter.api.Test;
 
 class BalancingPolicyTest {
-    private final World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3");
+    private final BalancerHarness harness = new BalancerHarness(false).list(ListKind.FULL, "a1", "a2", "b3");
 
     @Test
-    void refusesSettingsItCannotWorkWith() {
-        Balancer.Settings s = World.settings(false);
+    void rejectsInvalidSettings() {
+        Balancer.Settings s = BalancerHarness.settings(false);
         Balancer.Settings bad = new Balancer.Settings(
                 s.balancers(),
                 s.zone(),
@@ -50,14 +50,14 @@
                 0,
                 0,
                 0);
-        assertRefused("classes", bad);
-        assertRefused("freeResends", World.rationed(s, -1, 0.1, 1000));
-        assertRefused("resendShare", World.rationed(s, 1, -0.1, 1000));
-        assertRefused("resendSpan", World.rationed(s, 1, 0.1, -1));
-        assertRefused("resendSpan", World.rationed(s, 1, 0.1, 0));
+        assertRejected("classes", bad);
+        assertRejected("freeResends", BalancerHarness.withResendLimit(s, -1, 0.1, 1000));
+        assertRejected("resendShare", BalancerHarness.withResendLimit(s, 1, -0.1, 1000));
+        assertRejected("resendSpan", BalancerHarness.withResendLimit(s, 1, 0.1, -1));
+        assertRejected("resendSpan", BalancerHarness.withResendLimit(s, 1, 0.1, 0));
     }
 
-    private static void assertRefused(String setting, Balancer.Settings bad) {
+    private static void assertRejected(String setting, Balancer.Settings bad) {
         String message = assertThrows(
                         IllegalArgumentException.class, () -> new BalancingPolicy(new Recorder()).start(0, 1, bad))
                 .getMessage();
@@ -65,14 +65,15 @@
     }
 
     @Test
-    void furtherAttemptsStayWithinTheRation() {
-        World few = new World(false, 7, World.rationed(World.settings(false), 2, 0.1, 5000 * MS))
+    void resendsStayWithinTheLimit() {
+        BalancerHarness few = new BalancerHarness(
+                        false, 7, BalancerHarness.withResendLimit(BalancerHarness.settings(false), 2, 0.1, 5000 * MS))
                 .list(ListKind.FULL, "a1", "a2", "b3");
         for (int i = 0; i < 10; i++) {
             few.ask("e" + i, READ, "k" + i).answer("e" + i, Code.ERROR).pass(20 * MS);
         }
         assertEquals(13, few.recorder.sent.size(), "two free ones, and the tenth request earns a third");
-        assertTrue(few.recorder.has("refuse e5"), "told at once");
+        assertTrue(few.recorder.has("refuse e5"), "refused at once");
         few.pass(1 * MS).ask("f", READ, "k").answer("f", Code.ERROR).pass(20 * MS);
         assertEquals(1, few.sends("f"), "eleven requests taken allow no fourth");
         few.pass(6000 * MS).ask("g", READ, "k").answer("g", Code.ERROR).pass(20 * MS);
@@ -80,8 +81,9 @@
     }
 
     @Test
-    void anAttemptAfterAMissIsOutsideTheRation() {
-        World none = new World(true, 7, World.rationed(World.settings(true), 0, 0.001, 5000 * MS))
+    void attemptsAfterAMissAreNotLimited() {
+        BalancerHarness none = new BalancerHarness(
+                        true, 7, BalancerHarness.withResendLimit(BalancerHarness.settings(true), 0, 0.001, 5000 * MS))
                 .list(ListKind.FULL, "a1", "a2", "origin");
         for (int i = 0; i < 5; i++) {
             none.ask("m" + i, READ, "k" + i).answer("m" + i, Code.MISS).pass(20 * MS);
@@ -94,34 +96,34 @@
     @Test
     void aKeyStaysOnItsServer() {
         for (int i = 0; i < 20; i++) {
-            world.ask("r" + i, READ, "k").answer("r" + i, Code.OK).pass(20 * MS);
+            harness.ask("r" + i, READ, "k").answer("r" + i, Code.OK).pass(20 * MS);
         }
         assertEquals(
                 1,
-                world.recorder.sent.stream()
+                harness.recorder.sent.stream()
                         .map(Recorder.Sent::server)
                         .distinct()
                         .count());
     }
 
     @Test
-    void balancersThatShareNothingFindTheSameHomes() {
-        World other = new World(false, 99).list(ListKind.FULL, "b3", "a2", "a1");
+    void independentBalancersFindTheSameHomes() {
+        BalancerHarness other = new BalancerHarness(false, 99).list(ListKind.FULL, "b3", "a2", "a1");
         for (int i = 0; i < 50; i++) {
             String id = "r" + i;
-            world.ask(id, READ, "k" + i).answer(id, Code.OK);
+            harness.ask(id, READ, "k" + i).answer(id, Code.OK);
             other.ask(id, READ, "k" + i).answer(id, Code.OK);
-            assertEquals(world.serverOf(id), other.serverOf(id));
+            assertEquals(harness.serverOf(id), other.serverOf(id));
         }
     }
 
     @Test
-    void aHotKeyGetsMoreHomesAcrossBalancersAndRetriedFailuresAreNotHeat() {
+    void aHotKeyGetsMoreHomesAcrossBalancersAndRetriedFailuresDoNotCount() {
         String[] fleet = {"a1", "a2", "b3", "a4", "b5", "a6", "b7", "a8", "b9"};
         List<String> hot = new ArrayList<>();
         List<String> failing = new ArrayList<>();
         for (int b = 0; b < 20; b++) {
-            World one = new World(false, b).list(ListKind.FULL, fleet);
+            BalancerHarness one = new BalancerHarness(false, b).list(ListKind.FULL, fleet);
             for (int i = 0; i < 60; i++) {
                 one.ask("h" + i, READ, "hot").answer("h" + i, Code.OK).pass(100 * MS);
                 one.ask("f" + i, READ, "failing").answer("f" + i, i % 2 == 0 ? Code.ERROR : Code.OK);
@@ -141,25 +143,25 @@
     void onlyTheKeysOfALostServerMove() {
         Map<String, String> before = new HashMap<>();
         for (int i = 0; i < 60; i++) {
-            world.ask("r" + i, READ, "k" + i).answer("r" + i, Code.OK);
-            before.put("k" + i, world.serverOf("r" + i));
+            harness.ask("r" + i, READ, "k" + i).answer("r" + i, Code.OK);
+            before.put("k" + i, harness.serverOf("r" + i));
         }
         assertEquals(3, before.values().stream().distinct().count());
-        world.list(ListKind.FULL, "a1", "b3");
+        harness.list(ListKind.FULL, "a1", "b3");
         for (int i = 0; i < 60; i++) {
-            world.ask("s" + i, READ, "k" + i).answer("s" + i, Code.OK);
+            harness.ask("s" + i, READ, "k" + i).answer("s" + i, Code.OK);
             String home = before.get("k" + i);
             if (home.equals("a2")) {
-                assertNotEquals("a2", world.serverOf("s" + i));
+                assertNotEquals("a2", harness.serverOf("s" + i));
             } else {
-                assertEquals(home, world.serverOf("s" + i));
+                assertEquals(home, harness.serverOf("s" + i));
             }
         }
     }
 
     @Test
     void aPacedLaneHoldsItsNextSendUntilTheIntervalHasPassed() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         one.ask("f0", READ, "k").ask("f1", READ, "k").answer("f0", Code.FULL).answer("f1", Code.FULL);
         long before = one.recorder.sent.size();
         for (int i = 0; i < 4; i++) {
@@ -175,7 +177,7 @@
     /** A lane at its longest interval takes that and an answer for each request; the usual rate must still fit. */
     @Test
     void pacedLanesStillCarryTheUsualRate() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int i = 0; i < 300; i++) {
             one.ask("u" + i, READ, "k").pass(20 * MS).answer("u" + i, Code.OK, 100 * MS);
         }
@@ -193,8 +195,8 @@
     }
 
     @Test
-    void whatCannotLeaveInTimeIsRefusedEarly() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+    void requestsThatCannotBeSentInTimeAreRefusedEarly() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int round = 0; round < 12; round++) {
             one.ask("f" + round, READ, "k").answer("f" + round, Code.FULL).pass(500 * MS);
         }
@@ -202,74 +204,74 @@
             one.ask("r" + i, READ, "k");
         }
         assertTrue(one.recorder.count("refuse r") > 0, "refused at once, not when time is up");
-        assertTrue(one.recorder.count("refuse r") < 30, "some can still leave");
+        assertTrue(one.recorder.count("refuse r") < 30, "some can still be sent");
     }
 
     @Test
     void anUnsafeRequestThatMayHaveRunIsNeitherRepeatedNorRefused() {
-        world.ask("u", CHARGE, "k").answer("u", Code.RESET).pass(3000 * MS);
-        assertEquals(1, world.sends("u"));
-        assertTrue(world.recorder.has("fail u"));
-        assertEquals(0, world.recorder.count("refuse u"));
+        harness.ask("u", CHARGE, "k").answer("u", Code.RESET).pass(3000 * MS);
+        assertEquals(1, harness.sends("u"));
+        assertTrue(harness.recorder.has("fail u"));
+        assertEquals(0, harness.recorder.count("refuse u"));
     }
 
     @Test
     void aRetryAfterAFullAnswerGoesElsewhereAndTheKeyStays() {
-        world.ask("r", READ, "k");
-        String home = world.serverOf("r");
-        world.answer("r", Code.FULL).pass(100 * MS);
-        String second = world.serverOf("r");
+        harness.ask("r", READ, "k");
+        String home = harness.serverOf("r");
+        harness.answer("r", Code.FULL).pass(100 * MS);
+        String second = harness.serverOf("r");
         assertNotEquals(home, second);
-        world.answer("r", Code.FULL).pass(100 * MS);
+        harness.answer("r", Code.FULL).pass(100 * MS);
         assertEquals(
                 3,
-                world.recorder.sent.stream()
+                harness.recorder.sent.stream()
                         .map(Recorder.Sent::server)
                         .distinct()
                         .count());
-        world.answer("r", Code.OK).ask("s", READ, "k");
-        assertEquals(home, world.serverOf("s"));
+        harness.answer("r", Code.OK).ask("s", READ, "k");
+        assertEquals(home, harness.serverOf("s"));
     }
 
-    /** A server that answers reads but lets charges wait says so by the first; it is tried again, and comes back. */
+    /** A server that answers reads but not charges loses the charges after the first; paced trials bring them back. */
     @Test
-    void aClassThatAServerIsSilentToGoesElsewhere() {
-        world.ask("u", CHARGE, "k");
-        String home = world.serverOf("u");
-        world.ask("r", READ, "k").pass(10 * MS).answer("r", Code.OK);
-        assertEquals(home, world.serverOf("r"));
-        world.pass(600 * MS).ask("v", CHARGE, "k").ask("s", READ, "k");
-        assertNotEquals(home, world.serverOf("v"), "each further one would be lost as well");
-        assertEquals(home, world.serverOf("s"), "reads are well there");
-        world.answer("v", Code.OK).answer("s", Code.OK).pass(3000 * MS);
-        world.pass(World.COLD_TIME).ask("w", CHARGE, "k");
-        assertEquals(home, world.serverOf("w"), "a paced trial");
-        world.answer("w", Code.OK)
-                .pass(2 * World.COLD_TIME)
+    void classThatAServerDoesNotAnswerGoesElsewhere() {
+        harness.ask("u", CHARGE, "k");
+        String home = harness.serverOf("u");
+        harness.ask("r", READ, "k").pass(10 * MS).answer("r", Code.OK);
+        assertEquals(home, harness.serverOf("r"));
+        harness.pass(600 * MS).ask("v", CHARGE, "k").ask("s", READ, "k");
+        assertNotEquals(home, harness.serverOf("v"), "each further one would be lost as well");
+        assertEquals(home, harness.serverOf("s"), "reads are answered there");
+        harness.answer("v", Code.OK).answer("s", Code.OK).pass(3000 * MS);
+        harness.pass(BalancerHarness.COLD_TIME).ask("w", CHARGE, "k");
+        assertEquals(home, harness.serverOf("w"), "a paced trial");
+        harness.answer("w", Code.OK)
+                .pass(2 * BalancerHarness.COLD_TIME)
                 .ask("x", CHARGE, "k")
                 .answer("x", Code.OK);
-        world.ask("y", CHARGE, "k").ask("z", CHARGE, "k");
-        assertEquals(home, world.serverOf("y"));
-        assertEquals(home, world.serverOf("z"), "no trial any more");
+        harness.ask("y", CHARGE, "k").ask("z", CHARGE, "k");
+        assertEquals(home, harness.serverOf("y"));
+        assertEquals(home, harness.serverOf("z"), "no trial any more");
     }
 
-    /** Quick errors free a server for more at once; that must not draw all work to it. */
+    /** Fast errors free a server for more requests at once, which must not attract all requests to it. */
     @Test
     void aServerThatIsQuickWithErrorsLosesTheClass() {
-        world.ask("a", READ, "k");
-        String home = world.serverOf("a");
-        world.answer("a", Code.ERROR).pass(100 * MS);
-        assertEquals(home, world.serverOf("a"), "one may be chance");
-        world.answer("a", Code.ERROR).pass(100 * MS);
-        assertNotEquals(home, world.serverOf("a"));
-        world.answer("a", Code.OK).ask("b", READ, "k");
-        assertNotEquals(home, world.serverOf("b"));
+        harness.ask("a", READ, "k");
+        String home = harness.serverOf("a");
+        harness.answer("a", Code.ERROR).pass(100 * MS);
+        assertEquals(home, harness.serverOf("a"), "one may be chance");
+        harness.answer("a", Code.ERROR).pass(100 * MS);
+        assertNotEquals(home, harness.serverOf("a"));
+        harness.answer("a", Code.OK).ask("b", READ, "k");
+        assertNotEquals(home, harness.serverOf("b"));
     }
 
-    /** Elsewhere it would be a miss again each time, wherever just then least is held. */
+    /** With the home node excluded, going to the least loaded server each time would be a miss each time. */
     @Test
-    void aKeyWhoseHomeIsLeftOutStaysWhereItsCopyIs() {
-        World one = new World(false).list(ListKind.FULL, "a1", "a2", "a3", "a4");
+    void keyWithExcludedHomeStaysWhereItIsCached() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1", "a2", "a3", "a4");
         one.ask("a", READ, "k");
         String home = one.serverOf("a");
         one.answer("a", Code.ERROR).pass(100 * MS).answer("a", Code.ERROR).pass(100 * MS);
@@ -282,100 +284,100 @@
         }
     }
 
-    /** The ledger fails: what it has to be asked for is paced and refused, and what is kept is served as ever. */
+    /** While the origin fails, fetches are paced and refused, and cached responses are served as before. */
     @Test
-    void failingFetchesArePacedAndKeptOnesAreNot() {
+    void failingFetchesArePacedAndCacheHitsAreNot() {
         for (int i = 0; i < 20; i++) {
-            world.ask("w" + i, READ, "kept" + i)
+            harness.ask("w" + i, READ, "kept" + i)
                     .answer("w" + i, Code.OK, 50 * MS, CacheStatus.MISS)
                     .pass(20 * MS);
         }
         for (int i = 0; i < 40; i++) {
-            world.ask("f" + i, READ, "new" + i);
-            if (world.sends("f" + i) > 0) {
-                world.answer("f" + i, Code.ERROR, 400 * MS, CacheStatus.NONE);
+            harness.ask("f" + i, READ, "new" + i);
+            if (harness.sends("f" + i) > 0) {
+                harness.answer("f" + i, Code.ERROR, 400 * MS, CacheStatus.NONE);
             }
-            world.pass(5 * MS);
+            harness.pass(5 * MS);
         }
-        int before = world.recorder.sent.size();
+        int before = harness.recorder.sent.size();
         for (int i = 0; i < 40; i++) {
-            world.ask("g" + i, READ, "other" + i);
+            harness.ask("g" + i, READ, "other" + i);
         }
-        int fetches = world.recorder.sent.size() - before;
-        assertTrue(fetches < 10, "fetches let out at once: " + fetches);
+        int fetches = harness.recorder.sent.size() - before;
+        assertTrue(fetches < 10, "fetches sent at once: " + fetches);
         for (int i = 0; i < 20; i++) {
-            world.ask("h" + i, READ, "kept" + i);
-            assertEquals(1, world.sends("h" + i), "a hit waits for nobody");
-            world.answer("h" + i, Code.OK, 20 * MS, CacheStatus.HIT);
+            harness.ask("h" + i, READ, "kept" + i);
+            assertEquals(1, harness.sends("h" + i), "a hit does not wait");
+            harness.answer("h" + i, Code.OK, 20 * MS, CacheStatus.HIT);
         }
-        world.ask("s", SAVE, "kept3").answer("s", Code.OK).ask("i", READ, "kept3");
-        assertEquals(0, world.sends("i"), "a write has voided it");
+        harness.ask("s", SAVE, "kept3").answer("s", Code.OK).ask("i", READ, "kept3");
+        assertEquals(0, harness.sends("i"), "a write has invalidated it");
     }
 
     /**
-     * In a large fleet a few servers that fail a class meet each balancer seldom, so that it goes on trying them for
-     * long: their errors are no news of the ledger, and what the others have to fetch is not paced for them.
+     * In a large fleet each balancer seldom uses the few servers that fail a class, so it goes on trying them for long.
+     * Their errors say nothing about the origin, and fetches of the other servers are not paced because of them.
      */
     @Test
-    void errorsOfFewServersLeaveFetchesAtTheOthersAlone() {
+    void errorsOfFewServersDoNotPaceFetchesOfOthers() {
         Set<String> few = Set.of(ids(20));
-        long rest = meanRestOfTheLedger((server, hit) -> few.contains(server));
-        assertTrue(rest < 20 * MS, "the ledger's lanes rest in the mean, in us: " + rest);
+        long rest = averageOriginInterval((server, hit) -> few.contains(server));
+        assertTrue(rest < 20 * MS, "mean interval of the origin's lanes, in us: " + rest);
     }
 
-    /** The ledger fails half of what it is asked for behind a large fleet, and hits are good at all servers. */
+    /** The origin fails half of the fetches of a large fleet, and hits succeed at all servers. */
     @Test
-    void errorsOfFetchesAtAllServersAreTheLedgers() {
+    void errorsOfFetchesAtAllServersCountAgainstTheOrigin() {
         SplittableRandom chance = new SplittableRandom(1);
-        long rest = meanRestOfTheLedger((server, hit) -> !hit && chance.nextBoolean());
-        assertTrue(rest > 100 * MS, "the ledger's lanes rest in the mean, in us: " + rest);
+        long rest = averageOriginInterval((server, hit) -> !hit && chance.nextBoolean());
+        assertTrue(rest > 100 * MS, "mean interval of the origin's lanes, in us: " + rest);
     }
 
     /**
-     * A proxy among many asks for keys that others have had fetched: most of its forecasts are hits. What comes back
-     * counts for the lane that let it out, as what does not come back counts against it, whether it was a fetch or not.
+     * A proxy among many requests keys that others have had fetched: most requests that it predicts to be fetches are
+     * hits. A success counts for the lane that sent the request, as a failure counts against it, fetch or not.
      */
     @Test
-    void forecastsThatWereHitsCountForTheLanesThatLetThemOut() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
+    void predictedFetchesThatWereHitsCountForTheirLanes() {
+        harness.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         for (int i = 0; i < 6; i++) {
-            world.ask("e" + i, READ, "lost" + i, i % 2);
+            harness.ask("e" + i, READ, "lost" + i, i % 2);
         }
         for (int i = 0; i < 6; i++) {
-            world.answer("e" + i, Code.ERROR);
+            harness.answer("e" + i, Code.ERROR);
         }
-        assertTrue(restOfTheLedger(world) > 0);
-        for (int i = 0, met = world.recorder.sent.size(); i < 300; i++) {
-            world.ask("f" + i, READ, "new" + i, i % 2).pass(15 * MS);
-            for (; met < world.recorder.sent.size(); met++) {
-                world.answer(world.recorder.sent.get(met).request(), Code.OK, 15 * MS, CacheStatus.HIT);
+        assertTrue(originInterval(harness) > 0);
+        for (int i = 0, met = harness.recorder.sent.size(); i < 300; i++) {
+            harness.ask("f" + i, READ, "new" + i, i % 2).pass(15 * MS);
+            for (; met < harness.recorder.sent.size(); met++) {
+                harness.answer(harness.recorder.sent.get(met).request(), Code.OK, 15 * MS, CacheStatus.HIT);
             }
         }
-        assertEquals(0, restOfTheLedger(world));
+        assertEquals(0, originInterval(harness));
     }
 
-    /** Two in three forecasts are hits and every fetch fails: the hits do not hide that from the lanes. */
+    /** Two in three predicted fetches are hits and every fetch fails: the hits do not hide that from the lanes. */
     @Test
-    void hitsAmongForecastsDoNotHideALedgerThatFails() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
+    void hitsAmongPredictedFetchesDoNotHideAFailingOrigin() {
+        harness.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         long rest = 0;
         for (int i = 0, met = 1; i < 600; i++) {
-            world.ask("f" + i, READ, "new" + i, i % 2).pass(100 * MS);
-            for (; met < world.recorder.sent.size(); met++) {
+            harness.ask("f" + i, READ, "new" + i, i % 2).pass(100 * MS);
+            for (; met < harness.recorder.sent.size(); met++) {
                 boolean hit = met % 3 > 0;
-                world.answer(
-                        world.recorder.sent.get(met).request(),
+                harness.answer(
+                        harness.recorder.sent.get(met).request(),
                         hit ? Code.OK : Code.ERROR,
                         50 * MS,
                         hit ? CacheStatus.HIT : CacheStatus.NONE);
             }
-            rest += restOfTheLedger(world);
+            rest += originInterval(harness);
         }
-        assertTrue(rest / 600 > 50 * MS, "the ledger's lanes rest in the mean, in us: " + rest / 600);
+        assertTrue(rest / 600 > 50 * MS, "mean interval of the origin's lanes, in us: " + rest / 600);
     }
 
-    /** The ledger is the last of a view. */
-    private static long restOfTheLedger(World one) {
+    /** Returns the mean interval of the origin, which is the last entry of a view. */
+    private static long originInterval(BalancerHarness one) {
         List<Balancer.ServerView> all = one.balancer.view(one.now).servers();
         return all.get(all.size() - 1).meanInterval();
     }
@@ -385,8 +387,8 @@
     }
 
     /** 40 s of 50 reads a second at 60 servers, a fourth of them fetches, each of 200 ms; some fail after 10 s. */
-    private static long meanRestOfTheLedger(BiPredicate<String, Boolean> fails) {
-        World one = new World(false).list(ListKind.FULL, ids(60));
+    private static long averageOriginInterval(BiPredicate<String, Boolean> fails) {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, ids(60));
         List<Long> due = new ArrayList<>();
         long rest = 0;
         for (int i = 0, answered = 0; i < 2_000; i++) {
@@ -404,128 +406,128 @@
                         200 * MS,
                         bad ? CacheStatus.NONE : hit ? CacheStatus.HIT : CacheStatus.MISS);
             }
-            rest += restOfTheLedger(one);
+            rest += originInterval(one);
         }
         return rest / 2_000;
     }
 
-    /** A ledger that fails all for long is let go at no server in turn: each answers no good one in between. */
+    /** A long complete failure of the origin stays attributed to it, as no server answers successfully meanwhile. */
     @Test
-    void errorsOfAllServersGoOnBeingTheLedgers() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
+    void errorsOfAllServersStayAttributedToTheOrigin() {
+        harness.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         long rest = 0;
         for (int i = 0, answered = 1; i < 400; i++) {
-            world.ask("f" + i, READ, "new" + i, i % 2).pass(150 * MS);
-            for (; answered < world.recorder.sent.size(); answered++) {
-                world.answer(world.recorder.sent.get(answered).request(), Code.ERROR, 150 * MS);
+            harness.ask("f" + i, READ, "new" + i, i % 2).pass(150 * MS);
+            for (; answered < harness.recorder.sent.size(); answered++) {
+                harness.answer(harness.recorder.sent.get(answered).request(), Code.ERROR, 150 * MS);
             }
-            rest += restOfTheLedger(world);
+            rest += originInterval(harness);
         }
-        assertTrue(rest / 400 > 250 * MS, "the ledger's lanes rest in the mean, in us: " + rest / 400);
+        assertTrue(rest / 400 > 250 * MS, "mean interval of the origin's lanes, in us: " + rest / 400);
     }
 
-    /** Paced trials find the way back when the ledger answers again, without anything having to succeed first. */
+    /** Intervals of a long idle origin expire, without any fetch having to succeed first. */
     @Test
-    void fetchesComeBackByThemselves() {
-        world.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
+    void fetchesRecoverByThemselves() {
+        harness.ask("w", READ, "kept").answer("w", Code.OK, 50 * MS, CacheStatus.MISS);
         int answered = 1;
         for (int i = 0; i < 1_000; i++) {
             if (i < 60) {
-                world.ask("f" + i, READ, "new" + i);
+                harness.ask("f" + i, READ, "new" + i);
             }
-            for (; answered < world.recorder.sent.size(); answered++) {
-                world.answer(world.recorder.sent.get(answered).request(), Code.ERROR, 400 * MS, CacheStatus.NONE);
+            for (; answered < harness.recorder.sent.size(); answered++) {
+                harness.answer(harness.recorder.sent.get(answered).request(), Code.ERROR, 400 * MS, CacheStatus.NONE);
             }
-            world.pass(10 * MS);
+            harness.pass(10 * MS);
         }
         for (int i = 0; i < 30; i++) {
-            world.ask("g" + i, READ, "later" + i);
-            assertEquals(1, world.sends("g" + i), "after so long a rest nothing is left of the intervals");
-            world.answer("g" + i, Code.OK, 50 * MS, CacheStatus.MISS);
+            harness.ask("g" + i, READ, "later" + i);
+            assertEquals(1, harness.sends("g" + i), "the intervals have expired");
+            harness.answer("g" + i, Code.OK, 50 * MS, CacheStatus.MISS);
         }
     }
 
-    /** A fetch that takes long tells of the ledger: the lanes of its server stay as they were. */
+    /** A slow fetch counts against the origin; the lanes of the server stay as they were. */
     @Test
-    void lateFetchesLeaveTheServersLanesAlone() {
+    void lateFetchesDoNotPaceTheServer() {
         for (int i = 0; i < 30; i++) {
-            world.ask("w" + i, READ, "k")
+            harness.ask("w" + i, READ, "k")
                     .answer("w" + i, Code.OK, 450 * MS, CacheStatus.MISS)
                     .pass(20 * MS);
         }
-        long longest = world.balancer.view(world.now).servers().stream()
+        long longest = harness.balancer.view(harness.now).servers().stream()
                 .mapToLong(Balancer.ServerView::meanInterval)
                 .max()
                 .orElseThrow();
         assertEquals(0, longest);
         for (int i = 0; i < 30; i++) {
-            world.ask("l" + i, READ, "k")
+            harness.ask("l" + i, READ, "k")
                     .answer("l" + i, Code.OK, 450 * MS, CacheStatus.HIT)
                     .pass(20 * MS);
         }
-        assertTrue(world.balancer.view(world.now).servers().stream().anyMatch(s -> s.meanInterval() > 0));
+        assertTrue(harness.balancer.view(harness.now).servers().stream().anyMatch(s -> s.meanInterval() > 0));
     }
 
-    /** Errors on all sides come from the origin behind, and moving keys would only add to its load. */
+    /** Errors at all servers come from the origin, and moving keys would only add to its load. */
     @Test
-    void errorsOnAllSidesLeaveKeysAtHome() {
+    void errorsAtAllServersLeaveKeysAtHome() {
         Map<String, String> homes = new HashMap<>();
         for (int round = 0; round < 4; round++) {
             for (int i = 0; i < 30; i++) {
                 String id = "r" + round + "-" + i;
-                world.ask(id, READ, "k" + i);
-                homes.putIfAbsent("k" + i, world.serverOf(id));
+                harness.ask(id, READ, "k" + i);
+                homes.putIfAbsent("k" + i, harness.serverOf(id));
             }
             for (int i = 0; i < 30; i++) {
-                world.answer("r" + round + "-" + i, Code.ERROR);
+                harness.answer("r" + round + "-" + i, Code.ERROR);
             }
-            world.pass(3000 * MS);
+            harness.pass(3000 * MS);
         }
         for (int i = 0; i < 30; i++) {
-            world.ask("last" + i, READ, "k" + i);
-            assertEquals(homes.get("k" + i), world.serverOf("last" + i));
+            harness.ask("last" + i, READ, "k" + i);
+            assertEquals(homes.get("k" + i), harness.serverOf("last" + i));
         }
     }
 
     @Test
     void anUnsafeRequestThatNeverRanIsRepeated() {
-        world.ask("u", CHARGE, "k").answer("u", Code.FULL).pass(100 * MS);
-        assertEquals(2, world.sends("u"));
+        harness.ask("u", CHARGE, "k").answer("u", Code.FULL).pass(100 * MS);
+        assertEquals(2, harness.sends("u"));
     }
 
     @Test
     void aKeyedRequestIsRepeatedOnlyWithinItsWindow() {
-        world.ask("in", SAVE, "k").answer("in", Code.ERROR).pass(10 * MS);
-        assertEquals(2, world.sends("in"));
-        world.ask("out", SAVE, "k").pass(950 * MS).answer("out", Code.ERROR).pass(3000 * MS);
-        assertEquals(1, world.sends("out"));
-        assertTrue(world.recorder.has("refuse out"), "the group is all, so a refusal stays true");
+        harness.ask("in", SAVE, "k").answer("in", Code.ERROR).pass(10 * MS);
+        assertEquals(2, harness.sends("in"));
+        harness.ask("out", SAVE, "k").pass(950 * MS).answer("out", Code.ERROR).pass(3000 * MS);
+        assertEquals(1, harness.sends("out"));
+        assertTrue(harness.recorder.has("refuse out"), "the group is all, so a refusal stays true");
     }
 
     @Test
     void aKeyedRequestStaysInItsGroup() {
         for (int i = 0; i < 20; i++) {
             String id = "z" + i;
-            world.ask(id, SAVE_IN_ZONE, "k" + i);
-            char zone = world.serverOf(id).charAt(0);
-            world.answer(id, Code.ERROR).pass(10 * MS);
-            assertEquals(zone, world.serverOf(id).charAt(0));
-            world.pass(3000 * MS);
-            assertTrue(world.recorder.has("fail " + id) || world.sends(id) == 4);
-            assertEquals(0, world.recorder.count("refuse " + id));
+            harness.ask(id, SAVE_IN_ZONE, "k" + i);
+            char zone = harness.serverOf(id).charAt(0);
+            harness.answer(id, Code.ERROR).pass(10 * MS);
+            assertEquals(zone, harness.serverOf(id).charAt(0));
+            harness.pass(3000 * MS);
+            assertTrue(harness.recorder.has("fail " + id) || harness.sends(id) == 4);
+            assertEquals(0, harness.recorder.count("refuse " + id));
         }
     }
 
     @Test
     void everyRequestEndsOnceAndInTime() {
-        world.ask("r", READ, "k").ask("u", CHARGE, "k").pass(2000 * MS);
-        assertEquals(1, world.recorder.count("refuse r") + world.recorder.count("fail r"));
-        assertEquals(1, world.recorder.count("fail u"));
+        harness.ask("r", READ, "k").ask("u", CHARGE, "k").pass(2000 * MS);
+        assertEquals(1, harness.recorder.count("refuse r") + harness.recorder.count("fail r"));
+        assertEquals(1, harness.recorder.count("fail u"));
     }
 
     @Test
-    void nothingIsSentWithoutAServerAndHeldWorkLeavesWhenOneAppears() {
-        World empty = new World(false).list(ListKind.CACHED);
+    void requestsWaitForAServerAndAreSentWhenOneAppears() {
+        BalancerHarness empty = new BalancerHarness(false).list(ListKind.CACHED);
         empty.ask("r", READ, "k").pass(500 * MS);
         assertEquals(0, empty.sends("r"));
         empty.list(ListKind.CHANGES, "a1");
@@ -535,12 +537,14 @@
     }
 
     @Test
-    void heldWorkLeavesADrainingServerAtOnce() {
-        World two = new World(false).list(ListKind.FULL, "a1");
+    void queuedRequestsLeaveADrainingServerAtOnce() {
+        BalancerHarness two = new BalancerHarness(false).list(ListKind.FULL, "a1");
         two.ask("f", READ, "k").ask("g", READ, "k").answer("f", Code.FULL).answer("g", Code.FULL);
         two.ask("r", READ, "k");
         assertEquals(0, two.sends("r"));
-        two.list(ListKind.CHANGES, List.of(World.server("a1", State.DRAINING, 0), World.server("b2", State.READY, 0)));
+        two.list(
+                ListKind.CHANGES,
+                List.of(BalancerHarness.server("a1", State.DRAINING, 0), BalancerHarness.server("b2", State.READY, 0)));
         assertEquals("b2", two.serverOf("r"));
         two.pass(3000 * MS);
         long late = two.recorder.sent.stream()
@@ -551,162 +555,164 @@
     }
 
     @Test
-    void aFailedListIsAskedForAgainAndTheOldOneServes() {
-        world.list(ListKind.FAILED);
-        assertEquals(1, world.recorder.count("subscribe"));
-        world.pass(10_000 * MS);
-        assertEquals(2, world.recorder.count("subscribe"));
-        world.ask("r", READ, "k");
-        assertEquals(1, world.sends("r"));
+    void failedListIsRequestedAgainAndTheOldOneStaysInUse() {
+        harness.list(ListKind.FAILED);
+        assertEquals(1, harness.recorder.count("subscribe"));
+        harness.pass(10_000 * MS);
+        assertEquals(2, harness.recorder.count("subscribe"));
+        harness.ask("r", READ, "k");
+        assertEquals(1, harness.sends("r"));
     }
 
     @Test
     void aSilentServerIsLeftUntilItAnswersATrial() {
         for (int i = 0; i < 30; i++) {
-            world.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(50 * MS);
+            harness.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(50 * MS);
         }
-        String silent = world.serverOf("w0");
-        world.ask("r", READ, "k").ask("q", READ, "k").pass(1000 * MS);
-        assertTrue(world.recorder.has("cancel r 0"), "called back long before its time is up");
-        world.answer("r", Code.CANCELLED).pass(10 * MS);
-        assertNotEquals(silent, world.serverOf("r"));
+        String silent = harness.serverOf("w0");
+        harness.ask("r", READ, "k").ask("q", READ, "k").pass(1000 * MS);
+        assertTrue(harness.recorder.has("cancel r 0"), "cancelled long before its deadline");
+        harness.answer("r", Code.CANCELLED).pass(10 * MS);
+        assertNotEquals(silent, harness.serverOf("r"));
         int others = 0;
         for (int i = 0; i < 20; i++) {
-            world.ask("s" + i, READ, "k");
-            if (world.serverOf("s" + i).equals(silent)) {
-                world.answer("s" + i, Code.CONNECT_FAILED);
+            harness.ask("s" + i, READ, "k");
+            if (harness.serverOf("s" + i).equals(silent)) {
+                harness.answer("s" + i, Code.CONNECT_FAILED);
             } else {
                 others++;
-                world.answer("s" + i, Code.OK);
+                harness.answer("s" + i, Code.OK);
             }
-            world.pass(50 * MS);
+            harness.pass(50 * MS);
         }
         assertTrue(others >= 17, "only paced trials go to it, not " + (20 - others) + " of 20");
     }
 
-    /** Taken for silent too soon, a healthy server loses its keys, and their misses load the origin. */
+    /** A healthy server suspected too early would lose its keys, and their misses would load the origin. */
     @Test
-    void aServerIsNotSuspectBeforeTheAimHasPassed() {
-        World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3").pass(MS);
-        world.ask("r", READ, "k").ask("q", READ, "k").pass(490 * MS);
-        assertEquals(0, world.recorder.count("log server not responding"));
-        world.pass(20 * MS);
-        assertEquals(1, world.recorder.count("log server not responding"));
+    void serverIsNotSuspectBeforeTheTargetLatency() {
+        BalancerHarness harness =
+                new BalancerHarness(false).list(ListKind.FULL, "a1", "a2", "b3").pass(MS);
+        harness.ask("r", READ, "k").ask("q", READ, "k").pass(490 * MS);
+        assertEquals(0, harness.recorder.count("log server not responding"));
+        harness.pass(20 * MS);
+        assertEquals(1, harness.recorder.count("log server not responding"));
     }
 
-    /** A pause of our own looks like silence on all sides; moving most keys would make it worse. */
+    /** A pause of this process looks like silence of all servers; moving most keys would make it worse. */
     @Test
     void noMoreThanAThirdOfTheServersAreSuspect() {
-        World world = new World(false)
+        BalancerHarness harness = new BalancerHarness(false)
                 .list(ListKind.FULL, "a1", "a2", "b3", "a4", "b5", "a6", "b7", "a8", "b9")
                 .pass(MS);
         for (int i = 0; i < 60; i++) {
-            world.ask("r" + i, READ, "k" + i);
+            harness.ask("r" + i, READ, "k" + i);
         }
-        world.pass(1500 * MS);
-        assertEquals(3, world.recorder.count("log server not responding"));
+        harness.pass(1500 * MS);
+        assertEquals(3, harness.recorder.count("log server not responding"));
     }
 
-    /** Sixty servers in each of two zones; one zone falls silent after so many requests. Returns the world then. */
-    private static World zoneLost(List<String> lost, List<String> kept) {
+    /** Simulates sixty servers in each of two zones, one of which stops answering after 200 requests. */
+    private static BalancerHarness zoneLost(List<String> lost, List<String> healthy) {
         for (int i = 0; i < 60; i++) {
             lost.add("a" + i);
-            kept.add("b" + i);
+            healthy.add("b" + i);
         }
         List<String> all = new ArrayList<>(lost);
-        all.addAll(kept);
-        World world =
-                new World(false).list(ListKind.FULL, all.toArray(String[]::new)).pass(MS);
+        all.addAll(healthy);
+        BalancerHarness harness = new BalancerHarness(false)
+                .list(ListKind.FULL, all.toArray(String[]::new))
+                .pass(MS);
         for (int i = 0; i < 200; i++) {
-            world.ask("w" + i, READ, "warm" + i).answer("w" + i, Code.OK).pass(5 * MS);
+            harness.ask("w" + i, READ, "warm" + i).answer("w" + i, Code.OK).pass(5 * MS);
         }
         for (int i = 0; i < 80; i++) {
-            world.ask("r" + i, READ, "k" + i);
-            if (kept.contains(world.serverOf("r" + i))) {
-                world.answer("r" + i, Code.OK);
+            harness.ask("r" + i, READ, "k" + i);
+            if (healthy.contains(harness.serverOf("r" + i))) {
+                harness.answer("r" + i, Code.OK);
             }
-            world.pass(20 * MS);
+            harness.pass(20 * MS);
         }
-        return world;
+        return harness;
     }
 
-    /** No server of it is asked twice: what is known of it is known of the zone. */
+    /** No server gets two requests, so the silence is only known of the zone as a whole. */
     @Test
-    void aSilentZoneIsLeftThoughEachOfItsServersWasAskedOnceAtMost() {
+    void silentZoneIsAvoidedWithAtMostOneRequestToEachServer() {
         List<String> lost = new ArrayList<>();
-        List<String> kept = new ArrayList<>();
-        World world = zoneLost(lost, kept);
-        assertTrue(world.recorder.has("log server not responding: zone "
-                + World.server("a0", State.READY, 0).zone()));
-        assertTrue(world.recorder.has("cancel r79 0") || kept.contains(world.serverOf("r79")));
+        List<String> healthy = new ArrayList<>();
+        BalancerHarness harness = zoneLost(lost, healthy);
+        assertTrue(harness.recorder.has("log server not responding: zone "
+                + BalancerHarness.server("a0", State.READY, 0).zone()));
+        assertTrue(harness.recorder.has("cancel r79 0") || healthy.contains(harness.serverOf("r79")));
         int there = 0;
         for (int i = 0; i < 60; i++) {
-            world.ask("s" + i, READ, "new" + i);
-            there += lost.contains(world.serverOf("s" + i)) ? 1 : 0;
-            world.answer("s" + i, lost.contains(world.serverOf("s" + i)) ? Code.CONNECT_FAILED : Code.OK)
+            harness.ask("s" + i, READ, "new" + i);
+            there += lost.contains(harness.serverOf("s" + i)) ? 1 : 0;
+            harness.answer("s" + i, lost.contains(harness.serverOf("s" + i)) ? Code.CONNECT_FAILED : Code.OK)
                     .pass(20 * MS);
         }
         assertTrue(there >= 1 && there <= 5, "paced trials only, not " + there + " of 60");
     }
 
-    /** One answer to a trial brings the whole zone back, as cold as it may be. */
+    /** One answered trial makes the whole zone usable again, with the limits for cold servers. */
     @Test
-    void aZoneThatAnswersAgainIsUsedAgainLittleByLittle() {
+    void recoveredZoneIsUsedGradually() {
         List<String> lost = new ArrayList<>();
-        List<String> kept = new ArrayList<>();
-        World world = zoneLost(lost, kept);
+        List<String> healthy = new ArrayList<>();
+        BalancerHarness harness = zoneLost(lost, healthy);
         int there = 0;
         int first = -1;
         for (int i = 0; i < 900; i++) {
-            world.ask("s" + i, READ, "new" + i);
-            if (lost.contains(world.serverOf("s" + i))) {
+            harness.ask("s" + i, READ, "new" + i);
+            if (lost.contains(harness.serverOf("s" + i))) {
                 there++;
                 first = first < 0 ? i : first;
             }
-            world.answer("s" + i, Code.OK).pass(20 * MS);
+            harness.answer("s" + i, Code.OK).pass(20 * MS);
             if (i == first + 50 && first >= 0) {
                 assertTrue(there <= 20, "cold at first: " + there + " of 50");
             }
         }
-        assertTrue(first >= 0 && there >= 300, "half of the servers are there again: " + there + " of 900");
+        assertTrue(first >= 0 && there >= 300, "half of the servers are in use again: " + there + " of 900");
     }
 
-    /** An answer from the zone, or silence on all sides, says that it is not the zone. */
+    /** With an answer from the zone, or silence of all servers, the zone is not suspect. */
     @Test
-    void aZoneIsNotLeftForSilenceOfSomeOfItsServersOrOnAllSides() {
-        World world = new World(false)
+    void zoneIsNotSuspectIfOnlySomeOrAllServersAreSilent() {
+        BalancerHarness harness = new BalancerHarness(false)
                 .list(ListKind.FULL, "a1", "a2", "a3", "a4", "a5", "b1", "b2", "b3", "b4", "b5")
                 .pass(MS);
         for (int i = 0; i < 200; i++) {
-            world.ask("r" + i, READ, "k" + i);
-            if (world.serverOf("r" + i) != null && !world.serverOf("r" + i).matches("a[123]")) {
-                world.answer("r" + i, Code.OK);
+            harness.ask("r" + i, READ, "k" + i);
+            if (harness.serverOf("r" + i) != null && !harness.serverOf("r" + i).matches("a[123]")) {
+                harness.answer("r" + i, Code.OK);
             }
-            world.pass(20 * MS);
+            harness.pass(20 * MS);
         }
         for (int i = 0; i < 50; i++) {
-            world.ask("q" + i, READ, "x" + i);
+            harness.ask("q" + i, READ, "x" + i);
         }
-        world.pass(3000 * MS);
-        assertEquals(0, world.recorder.count("log server not responding: zone"));
+        harness.pass(3000 * MS);
+        assertEquals(0, harness.recorder.count("log server not responding: zone"));
     }
 
-    /** Far servers answer late by the way there and back alone, which sending less does not shorten. */
+    /** Distant servers answer late because of the round trip, which pacing does not shorten. */
     @Test
-    void theWayToAServerDoesNotCountAsLateness() {
-        World world = new World(false).list(ListKind.FULL, "a1");
-        world.ask("near", READ, "k").answer("near", Code.OK, 200 * MS);
+    void roundTripDoesNotCountAsLateness() {
+        BalancerHarness harness = new BalancerHarness(false).list(ListKind.FULL, "a1");
+        harness.ask("near", READ, "k").answer("near", Code.OK, 200 * MS);
         for (int i = 0; i < 10; i++) {
-            world.ask("r" + i, READ, "k").answer("r" + i, Code.OK, 300 * MS);
+            harness.ask("r" + i, READ, "k").answer("r" + i, Code.OK, 300 * MS);
         }
-        int before = world.recorder.sent.size();
-        world.ask("x", READ, "k").ask("y", READ, "k").ask("z", READ, "k");
-        assertEquals(before + 3, world.recorder.sent.size(), "no lane is paced");
+        int before = harness.recorder.sent.size();
+        harness.ask("x", READ, "k").ask("y", READ, "k").ask("z", READ, "k");
+        assertEquals(before + 3, harness.recorder.sent.size(), "no lane is paced");
     }
 
     @Test
     void aFailedConnectionMakesAServerSuspectAndTrialsAreFew() {
-        World many = new World(false).list(ListKind.FULL, "a1", "a2", "b3", "a4", "b5", "a6", "b7");
+        BalancerHarness many = new BalancerHarness(false).list(ListKind.FULL, "a1", "a2", "b3", "a4", "b5", "a6", "b7");
         many.ask("r", READ, "k");
         String gone = many.serverOf("r");
         many.answer("r", Code.CONNECT_FAILED).pass(100 * MS);
@@ -723,15 +729,15 @@
     }
 
     @Test
-    void aColdServerGetsItsPartOnly() {
+    void coldServerGetsOnlyItsShare() {
         for (int i = 0; i < 400; i++) {
-            world.ask("w" + i, READ, "k" + i % 40).answer("w" + i, Code.OK).pass(10 * MS);
+            harness.ask("w" + i, READ, "k" + i % 40).answer("w" + i, Code.OK).pass(10 * MS);
         }
-        world.list(ListKind.CHANGES, List.of(World.server("a9", State.READY, world.now)));
+        harness.list(ListKind.CHANGES, List.of(BalancerHarness.server("a9", State.READY, harness.now)));
         for (int i = 0; i < 100; i++) {
-            world.ask("c" + i, READ, "new" + i).answer("c" + i, Code.OK).pass(10 * MS);
+            harness.ask("c" + i, READ, "new" + i).answer("c" + i, Code.OK).pass(10 * MS);
         }
-        long cold = world.recorder.sent.stream()
+        long cold = harness.recorder.sent.stream()
                 .filter(s -> s.server().equals("a9"))
                 .count();
         assertTrue(cold > 0 && cold <= 100 / 4 * 0.4 + 1, "a part of a fair quarter of 100, was " + cold);
@@ -742,13 +748,13 @@
         long cold = 0;
         long warm = 0;
         for (int b = 0; b < 300; b++) {
-            World quiet = new World(false, b).list(ListKind.FULL, "a1", "a2", "b3");
+            BalancerHarness quiet = new BalancerHarness(false, b).list(ListKind.FULL, "a1", "a2", "b3");
             for (int i = 0; i < 20; i++) {
                 quiet.ask("w" + i, READ, "k" + b + "-" + i)
                         .answer("w" + i, Code.OK)
                         .pass(500 * MS);
             }
-            quiet.list(ListKind.CHANGES, List.of(World.server("a9", State.READY, quiet.now)));
+            quiet.list(ListKind.CHANGES, List.of(BalancerHarness.server("a9", State.READY, quiet.now)));
             int before = quiet.recorder.sent.size();
             for (int i = 0; i < 6; i++) {
                 quiet.ask("c" + i, READ, "new" + b + "-" + i)
@@ -760,34 +766,35 @@
                 warm += sent.server().equals("a9") ? 0 : 1;
             }
         }
-        double bound = warm / 3.0 * 0.5 * 1.5; // three seconds' warmth at the most, and the room over it
+        double bound = warm / 3.0 * 0.5 * 1.5; // three seconds of warm-up at most, and the tolerance
         assertTrue(cold > bound / 4 && cold < bound, cold + " sends to the cold server, bound " + bound);
     }
 
     @Test
     void manyColdServersDoNotStarveEachOther() {
         for (int i = 0; i < 600; i++) {
-            world.ask("w" + i, READ, "k" + i % 40).answer("w" + i, Code.OK).pass(10 * MS);
+            harness.ask("w" + i, READ, "k" + i % 40).answer("w" + i, Code.OK).pass(10 * MS);
         }
         List<Balancer.Server> fresh = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            fresh.add(World.server("a" + (50 + i), State.READY, world.now));
+            fresh.add(BalancerHarness.server("a" + (50 + i), State.READY, harness.now));
         }
-        world.list(ListKind.CHANGES, fresh);
+        harness.list(ListKind.CHANGES, fresh);
         for (int i = 0; i < 200; i++) {
-            world.ask("c" + i, READ, "new" + i).answer("c" + i, Code.OK).pass(10 * MS);
+            harness.ask("c" + i, READ, "new" + i).answer("c" + i, Code.OK).pass(10 * MS);
         }
-        long cold = world.recorder.sent.stream()
+        long cold = harness.recorder.sent.stream()
                 .filter(s -> s.server().length() == 3)
                 .count();
-        double part = 200 / 3.0 * 0.4 * 1.5; // of a warm server's two seconds, at two seconds' warmth and room
+        double part =
+                200 / 3.0 * 0.4 * 1.5; // of a warm server's two seconds, at two seconds of warm-up and the tolerance
         assertTrue(cold > 100, "nine cold servers take most of the new keys, was " + cold);
         assertTrue(cold < 9 * part * 1.2, "and none more than its part, was " + cold);
     }
 
     @Test
     void missesOfOneKeyShareAFetch() {
-        World aside = new World(true).list(ListKind.FULL, "a1", "a2", "origin");
+        BalancerHarness aside = new BalancerHarness(true).list(ListKind.FULL, "a1", "a2", "origin");
         aside.ask("r", READ, "k").ask("s", READ, "k").answer("r", Code.MISS).answer("s", Code.MISS);
         assertEquals(
                 1,
@@ -795,7 +802,7 @@
                         .filter(x -> x.server().equals("origin"))
                         .count());
         aside.ask("t", READ, "k");
-        assertEquals(0, aside.sends("t"), "waits for the fetch that is out");
+        assertEquals(0, aside.sends("t"), "waits for the fetch in flight");
         aside.answer("r", Code.OK);
         assertEquals(2, aside.sends("s"));
         assertNotEquals("origin", aside.serverOf("s"));
@@ -804,7 +811,7 @@
 
     @Test
     void aFullOriginIsPacedBeforeItIsUsedMore() {
-        World aside = new World(true).list(ListKind.FULL, "a1", "a2", "origin");
+        BalancerHarness aside = new BalancerHarness(true).list(ListKind.FULL, "a1", "a2", "origin");
         aside.ask("v", SAVE, "k").ask("w", SAVE, "l").answer("v", Code.FULL).answer("w", Code.FULL);
         int before = aside.recorder.sent.size();
         aside.ask("x", SAVE, "m");
@@ -814,8 +821,9 @@
     }
 
     @Test
-    void aRationIsNotSpentOnCallBacks() {
-        World few = new World(false, 7, World.rationed(World.settings(false), 2, 0.1, 5000 * MS))
+    void resendLimitIsNotSpentOnCancellations() {
+        BalancerHarness few = new BalancerHarness(
+                        false, 7, BalancerHarness.withResendLimit(BalancerHarness.settings(false), 2, 0.1, 5000 * MS))
                 .list(ListKind.FULL, "a1", "a2", "b3");
         for (int i = 0; i < 30; i++) {
             few.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(50 * MS);
@@ -827,18 +835,18 @@
 
     @Test
     void writesGoToTheOriginWhereCachesDoNotFetch() {
-        World aside = new World(true).list(ListKind.FULL, "a1", "a2", "origin");
+        BalancerHarness aside = new BalancerHarness(true).list(ListKind.FULL, "a1", "a2", "origin");
         aside.ask("w", SAVE, "k");
         assertEquals("origin", aside.serverOf("w"));
     }
 
     @Test
-    void overShareWorkGivesWayUnderPressureOnly() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+    void requestsOverTheShareAreRefusedUnderLoadOnly() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int i = 0; i < 200; i++) {
             one.ask("r" + i, READ, "k", 1).answer("r" + i, Code.OK).pass(5 * MS);
         }
-        assertEquals(0, one.recorder.count("refuse"), "there is room");
+        assertEquals(0, one.recorder.count("refuse"), "there is capacity");
         for (int i = 0; i < 20; i++) {
             one.ask("s" + i, READ, "k", 0).answer("s" + i, Code.OK, 450 * MS);
         }
@@ -854,18 +862,18 @@
     void retriesOfErrorsRunOutWhenNothingIsServed() {
         for (int i = 0; i < 100; i++) {
             String id = "e" + i;
-            world.ask(id, READ, "k" + i);
-            while (world.sends(id) > 0 && !world.recorder.has("refuse " + id) && world.sends(id) < 4) {
-                world.answer(id, Code.ERROR).pass(5 * MS);
+            harness.ask(id, READ, "k" + i);
+            while (harness.sends(id) > 0 && !harness.recorder.has("refuse " + id) && harness.sends(id) < 4) {
+                harness.answer(id, Code.ERROR).pass(5 * MS);
             }
-            world.answer(id, Code.ERROR).pass(5 * MS);
+            harness.answer(id, Code.ERROR).pass(5 * MS);
         }
-        assertTrue(world.recorder.sent.size() < 100 * 1.2, "attempts: " + world.recorder.sent.size());
+        assertTrue(harness.recorder.sent.size() < 100 * 1.2, "attempts: " + harness.recorder.sent.size());
     }
 
     @Test
-    void lateAnswersPaceAServerAndPacedLanesCarryOneRequestEach() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+    void lateResponsesPaceAServerAndPacedLanesCarryOneRequestEach() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int i = 0; i < 10; i++) {
             one.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(500 * MS);
         }
@@ -876,14 +884,14 @@
         }
         one.pass(60 * MS);
         assertEquals(14, one.recorder.sent.size(), "two lanes, both busy until they are answered");
-        assertEquals(1, one.sends("r4"), "the newest leaves first");
+        assertEquals(1, one.sends("r4"), "the newest is sent first");
         one.answer("r4", Code.OK).pass(60 * MS);
         assertEquals(15, one.recorder.sent.size());
     }
 
     @Test
     void aBusyBalancerHasMoreLanes() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int i = 0; i < 400; i++) {
             one.ask("w" + i, READ, "k").answer("w" + i, Code.OK).pass(20 * MS);
         }
@@ -896,17 +904,17 @@
 
     @Test
     void strayEventsAreHarmless() {
-        world.ask("r", READ, "k");
-        int before = world.recorder.sent.size();
-        world.balancer.outcome(
-                world.now, new Balancer.Outcome("r", 5, Code.FULL, 0, false, Balancer.CacheStatus.NONE, null));
-        world.balancer.outcome(
-                world.now, new Balancer.Outcome("x", 0, Code.OK, 0, true, Balancer.CacheStatus.NONE, null));
-        world.balancer.timer(world.now, 123);
-        world.balancer.abandoned(world.now, "y");
-        world.balancer.probed(world.now, "z", true, null);
-        assertEquals(before, world.recorder.sent.size());
-        assertEquals(0, world.recorder.count("refuse") + world.recorder.count("fail"));
+        harness.ask("r", READ, "k");
+        int before = harness.recorder.sent.size();
+        harness.balancer.outcome(
+                harness.now, new Balancer.Outcome("r", 5, Code.FULL, 0, false, Balancer.CacheStatus.NONE, null));
+        harness.balancer.outcome(
+                harness.now, new Balancer.Outcome("x", 0, Code.OK, 0, true, Balancer.CacheStatus.NONE, null));
+        harness.balancer.timer(harness.now, 123);
+        harness.balancer.abandoned(harness.now, "y");
+        harness.balancer.probed(harness.now, "z", true, null);
+        assertEquals(before, harness.recorder.sent.size());
+        assertEquals(0, harness.recorder.count("refuse") + harness.recorder.count("fail"));
     }
 
     @Test
@@ -915,7 +923,7 @@
         for (int run = 0; run < 2; run++) {
             RandomEvents events = new RandomEvents(5, false);
             events.run(3000);
-            runs.add(events.world.recorder.lines);
+            runs.add(events.harness.recorder.lines);
         }
         assertEquals(runs.get(0), runs.get(1));
         assertTrue(runs.get(0).size() > 1500, "lines: " + runs.get(0).size());
@@ -929,18 +937,18 @@
     }
 
     @Test
-    void theRationHoldsOverRandomLegalEvents() {
+    void resendLimitHoldsOverRandomLegalEvents() {
         int resent = 0;
         for (int seed = 0; seed < 30; seed++) {
             RandomEvents events = new RandomEvents(seed, seed % 2 == 1, 2, 0.05, 3000 * MS);
             events.run(1500);
             resent += events.resentInAll;
         }
-        assertTrue(resent > 300, "the ration is used, not only kept: " + resent);
+        assertTrue(resent > 300, "the resend limit is reached, not only respected: " + resent);
     }
 
     @Test
-    void theRationCheckerSeesACountOffByOne() {
+    void resendLimitCheckDetectsAnOffByOne() {
         assertThrows(AssertionError.class, () -> {
             for (int seed = 0; seed < 10; seed++) {
                 RandomEvents events = new RandomEvents(seed, false, 3, 0.05, 3000 * MS);
@@ -951,17 +959,17 @@
     }
 
     @Test
-    void whatHasOnlyWaitedIsRefusedOnceItWouldComeTooLateToBeOfUse() {
-        World one = new World(false);
+    void queuedRequestsAreRefusedOnceTooLateToBeUseful() {
+        BalancerHarness one = new BalancerHarness(false);
         one.ask("r", READ, "k").pass(500 * MS);
         assertEquals(0, one.recorder.count("refuse r"), "it may still be of use");
         one.pass(400 * MS);
-        assertTrue(one.recorder.has("refuse r"), "at 1.7 wanted times, long before its deadline");
+        assertTrue(one.recorder.has("refuse r"), "at 1.7 times the target latency, long before its deadline");
     }
 
     @Test
-    void refusedClientsComeBackLaterTheLongerAStormLasts() {
-        World one = new World(false);
+    void retryDelayGrowsWithTheOverload() {
+        BalancerHarness one = new BalancerHarness(false);
         one.ask("first", READ, "k").pass(1000 * MS);
         for (int i = 0; i < 300; i++) {
             one.ask("r" + i, READ, "k").pass(10 * MS);
@@ -979,10 +987,10 @@
         assertTrue(most > 2 * least, "spread: " + least + " to " + most);
     }
 
-    /** An estimate that refuses all that could correct it would hold for ever. */
+    /** An estimate that refuses every request that could correct it would last for ever. */
     @Test
-    void aLedgerThatWasSlowIsTriedAgain() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+    void slowOriginIsTriedAgain() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         for (int i = 0; i < 20; i++) {
             one.ask("s" + i, READ, "k" + i).pass(300 * MS);
             if (one.sends("s" + i) == 1) {
@@ -993,14 +1001,14 @@
         one.pass(20_000 * MS);
         for (int i = 0; i < 5; i++) {
             one.ask("r" + i, READ, "n" + i);
-            assertEquals(1, one.sends("r" + i), "nothing else is out, and the storm is long over");
+            assertEquals(1, one.sends("r" + i), "nothing else is in flight, and the overload is long over");
             one.answer("r" + i, Code.OK).pass(500 * MS);
         }
     }
 
-    /** A world whose balancer knows that answers tell what was fetched. */
-    private static World telling() {
-        World one = new World(false).list(ListKind.FULL, "a1");
+    /** Returns a harness whose balancer has seen that responses carry a cache status. */
+    private static BalancerHarness harnessWithCacheStatus() {
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
         one.ask("first", READ, "other")
                 .answer("first", Code.OK, 50 * MS, CacheStatus.MISS)
                 .pass(1_000 * MS);
@@ -1008,14 +1016,14 @@
     }
 
     @Test
-    void aKeyIsFetchedOnceAtATimeAndWhoeverFollowsFindsItKept() {
-        World one = telling();
+    void keyIsFetchedOnceAtATimeAndFollowersHitTheCache() {
+        BalancerHarness one = harnessWithCacheStatus();
         for (int i = 0; i < 5; i++) {
             one.ask("r" + i, READ, "k").pass(5 * MS);
         }
         assertEquals(2, one.recorder.sent.size(), "one fetch of the key");
         one.answer("r0", Code.OK, 60 * MS, CacheStatus.MISS).pass(100 * MS);
-        assertEquals(6, one.recorder.sent.size(), "the others leave with its answer");
+        assertEquals(6, one.recorder.sent.size(), "the others are sent after its response");
         for (int i = 1; i < 5; i++) {
             one.answer("r" + i, Code.OK, 10 * MS, CacheStatus.HIT);
         }
@@ -1023,8 +1031,8 @@
     }
 
     @Test
-    void whoFollowsAFetchGoesOnWhenItFailsOrItsClientLeaves() {
-        World one = telling();
+    void followersProceedWhenTheFetchFailsOrIsAbandoned() {
+        BalancerHarness one = harnessWithCacheStatus();
         one.ask("leaves", READ, "k")
                 .ask("fails", READ, "k")
                 .ask("last", READ, "k")
@@ -1038,10 +1046,10 @@
         assertTrue(one.sends("fails") >= 1 && one.sends("last") >= 1, "the other did not wait for its retry");
     }
 
-    /** A node that is full says so with the mark of a hit; nobody must wait for that one's next attempt. */
+    /** A full node answers with the cache status of a hit; no follower must wait for the next attempt. */
     @Test
-    void whoFollowsAFetchGoesOnWhenItIsTurnedAway() {
-        World one = telling();
+    void followersProceedWhenTheFetchIsRejected() {
+        BalancerHarness one = harnessWithCacheStatus();
         one.ask("leads", READ, "k").ask("follows", READ, "k");
         assertEquals(0, one.sends("follows"));
         one.answer("leads", Code.FULL, 5 * MS, CacheStatus.HIT);
@@ -1049,8 +1057,8 @@
     }
 
     @Test
-    void aFollowerThatWaitedInVainIsNotTakenForOneWithoutAServer() {
-        World one = telling();
+    void timedOutFollowerIsNotCountedAsWithoutServer() {
+        BalancerHarness one = harnessWithCacheStatus();
         one.ask("leads", READ, "k").ask("follows", READ, "k").pass(900 * MS);
         assertTrue(one.recorder.has("refuse follows"));
         long[] concluded = one.balancer.view(one.now).unservedByReason();
--- a/src/test/java/anisebend/RandomEvents.java
+++ b/src/test/java/anisebend/RandomEvents.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** Plays random legal events and checks the rules on every action. */
+/** Generates random legal events and checks every action of the balancer. */
 final class RandomEvents {
-    private static final class Ask {
+    private static final class PendingRequest {
         int type;
         long giveUp;
         int attempts;
@@ -27,10 +27,10 @@
         boolean missed;
     }
 
-    final World world;
+    final BalancerHarness harness;
     private final SplittableRandom random;
     private final boolean aside;
-    private final Map<String, Ask> asks = new LinkedHashMap<>();
+    private final Map<String, PendingRequest> requests = new LinkedHashMap<>();
     private final Map<String, Long> stoppedSince = new LinkedHashMap<>();
     private final Map<String, State> states = new LinkedHashMap<>();
     private int linesSeen;
@@ -53,14 +53,15 @@
         this.free = free;
         this.share = share;
         this.span = span;
-        this.world = new World(aside, seed, World.rationed(World.settings(aside), free, share, span));
+        this.harness = new BalancerHarness(
+                aside, seed, BalancerHarness.withResendLimit(BalancerHarness.settings(aside), free, share, span));
         for (String id : List.of("a0", "a1", "b2", "b3", "c4")) {
             states.put(id, State.READY);
         }
         if (aside) {
             states.put("origin", State.READY);
         }
-        world.list(ListKind.CACHED, states.keySet().toArray(String[]::new));
+        harness.list(ListKind.CACHED, states.keySet().toArray(String[]::new));
         verify();
     }
 
@@ -70,34 +71,34 @@
             verify();
         }
         for (int i = 0; i < 50; i++) {
-            world.pass(100 * World.MS);
+            harness.pass(100 * BalancerHarness.MS);
             verify();
         }
-        asks.forEach((id, ask) -> assertTrue(ask.ended || ask.out != null, "never answered: " + id));
+        requests.forEach((id, request) -> assertTrue(request.ended || request.out != null, "never answered: " + id));
     }
 
     private void step(int i) {
-        int dice = random.nextInt(100);
-        if (dice < 45) {
+        int draw = random.nextInt(100);
+        if (draw < 45) {
             String id = "r" + i;
-            Ask ask = new Ask();
-            ask.type = random.nextInt(4);
-            ask.giveUp = world.now + 2000 * World.MS;
-            asks.put(id, ask);
-            taken.add(world.now);
-            world.ask(id, ask.type, "k" + random.nextInt(30), random.nextInt(2));
-        } else if (dice < 80) {
+            PendingRequest request = new PendingRequest();
+            request.type = random.nextInt(4);
+            request.giveUp = harness.now + 2000 * BalancerHarness.MS;
+            requests.put(id, request);
+            taken.add(harness.now);
+            harness.ask(id, request.type, "k" + random.nextInt(30), random.nextInt(2));
+        } else if (draw < 80) {
             List<String> out = new ArrayList<>();
-            asks.forEach((id, ask) -> {
-                if (ask.out != null) {
+            requests.forEach((id, request) -> {
+                if (request.out != null) {
                     out.add(id);
                 }
             });
             if (!out.isEmpty()) {
                 answer(out.get(random.nextInt(out.size())));
             }
-        } else if (dice < 97) {
-            world.pass(random.nextInt(60) * World.MS);
+        } else if (draw < 97) {
+            harness.pass(random.nextInt(60) * BalancerHarness.MS);
         } else {
             List<String> ids = new ArrayList<>(states.keySet());
             String id = ids.get(random.nextInt(ids.size()));
@@ -106,83 +107,91 @@
             if (state == State.READY) {
                 stoppedSince.remove(id);
             } else {
-                stoppedSince.putIfAbsent(id, world.now);
+                stoppedSince.putIfAbsent(id, harness.now);
             }
-            world.list(ListKind.CHANGES, List.of(World.server(id, state, world.now)));
+            harness.list(ListKind.CHANGES, List.of(BalancerHarness.server(id, state, harness.now)));
         }
     }
 
     private void answer(String id) {
-        Ask ask = asks.get(id);
+        PendingRequest request = requests.get(id);
         Code[] codes = Code.values();
         Code code = random.nextInt(2) == 0 ? Code.OK : codes[random.nextInt(codes.length)];
-        if (code == Code.MISS && (!aside || ask.out.equals("origin"))) {
+        if (code == Code.MISS && (!aside || request.out.equals("origin"))) {
             code = Code.ERROR;
         }
-        if (code.mayHaveRun && ask.ranSince < 0) {
-            ask.ranSince = ask.sentAt;
-            ask.ranZone = ask.out.charAt(0);
+        if (code.mayHaveRun && request.ranSince < 0) {
+            request.ranSince = request.sentAt;
+            request.ranZone = request.out.charAt(0);
         }
-        ask.out = null;
-        ask.missed = code == Code.MISS;
-        boolean over = ask.ended || code == Code.OK;
-        ask.ended = over;
-        world.balancer.outcome(
-                world.now,
+        request.out = null;
+        request.missed = code == Code.MISS;
+        boolean over = request.ended || code == Code.OK;
+        request.ended = over;
+        harness.balancer.outcome(
+                harness.now,
                 new Balancer.Outcome(
-                        id, ask.attempts - 1, code, world.now - ask.sentAt, over, Balancer.CacheStatus.NONE, null));
-        world.collectTimers();
+                        id,
+                        request.attempts - 1,
+                        code,
+                        harness.now - request.sentAt,
+                        over,
+                        Balancer.CacheStatus.NONE,
+                        null));
+        harness.collectTimers();
     }
 
     private void verify() {
-        List<String> lines = world.recorder.lines;
+        List<String> lines = harness.recorder.lines;
         for (; linesSeen < lines.size(); linesSeen++) {
-            at = world.recorder.times.get(linesSeen);
+            at = harness.recorder.times.get(linesSeen);
             String[] words = lines.get(linesSeen).split(" ");
-            Ask ask = words.length > 1 ? asks.get(words[1]) : null;
+            PendingRequest request = words.length > 1 ? requests.get(words[1]) : null;
             switch (words[0]) {
-                case "send" -> send(words[1], ask, words[2]);
+                case "send" -> verifySend(words[1], request, words[2]);
                 case "refuse" -> {
-                    answeredOnce(words[1], ask);
-                    boolean mayRun = ask.ranSince >= 0 || ask.out != null;
+                    verifyEnd(words[1], request);
+                    boolean mayRun = request.ranSince >= 0 || request.out != null;
                     assertFalse(
-                            mayRun && (ask.type == World.CHARGE || ask.type == World.SAVE_IN_ZONE),
-                            "untrue refusal of " + words[1]);
+                            mayRun
+                                    && (request.type == BalancerHarness.CHARGE
+                                            || request.type == BalancerHarness.SAVE_IN_ZONE),
+                            "refused although it may have run: " + words[1]);
                 }
-                case "fail" -> answeredOnce(words[1], ask);
+                case "fail" -> verifyEnd(words[1], request);
                 default -> {}
             }
         }
     }
 
-    private void answeredOnce(String id, Ask ask) {
-        assertFalse(ask.ended, "answered twice: " + id);
-        assertTrue(at <= ask.giveUp, "late: " + id);
-        ask.ended = true;
+    private void verifyEnd(String id, PendingRequest request) {
+        assertFalse(request.ended, "answered twice: " + id);
+        assertTrue(at <= request.giveUp, "late: " + id);
+        request.ended = true;
     }
 
-    private void send(String id, Ask ask, String server) {
-        assertFalse(ask.ended, "sent after its end: " + id);
-        assertEquals(null, ask.out, "two attempts at once: " + id);
-        assertTrue(ask.attempts < 4, "too many attempts: " + id);
+    private void verifySend(String id, PendingRequest request, String server) {
+        assertFalse(request.ended, "sent after its end: " + id);
+        assertEquals(null, request.out, "two attempts at once: " + id);
+        assertTrue(request.attempts < 4, "too many attempts: " + id);
         Long stopped = stoppedSince.get(server);
-        assertTrue(stopped == null || at - stopped <= World.GRACE, "sent to a stopped server: " + server);
-        if (ask.ranSince >= 0 && ask.type != World.READ) {
-            assertTrue(ask.type != World.CHARGE, "unsafe sent twice: " + id);
-            assertTrue(at - ask.ranSince <= 900 * World.MS, "outside the window: " + id);
+        assertTrue(stopped == null || at - stopped <= BalancerHarness.GRACE, "sent to a stopped server: " + server);
+        if (request.ranSince >= 0 && request.type != BalancerHarness.READ) {
+            assertTrue(request.type != BalancerHarness.CHARGE, "unsafe sent twice: " + id);
+            assertTrue(at - request.ranSince <= 900 * BalancerHarness.MS, "outside the window: " + id);
             assertTrue(
-                    ask.type != World.SAVE_IN_ZONE || server.charAt(0) % 2 == ask.ranZone % 2,
+                    request.type != BalancerHarness.SAVE_IN_ZONE || server.charAt(0) % 2 == request.ranZone % 2,
                     "outside the group: " + id);
         }
-        if (ask.attempts > 0 && !ask.missed && span > 0) {
+        if (request.attempts > 0 && !request.missed && span > 0) {
             resent.add(at);
             resentInAll++;
             long tries = resent.stream().filter(t -> t >= at - span).count();
-            long requests = taken.stream().filter(t -> t > at - span).count();
-            assertTrue(tries <= free + share * requests, "over the ration: " + tries + " for " + requests);
+            long recent = taken.stream().filter(t -> t > at - span).count();
+            assertTrue(tries <= free + share * recent, "over the resend limit: " + tries + " for " + recent);
         }
-        ask.attempts++;
-        ask.out = server;
-        ask.sentAt = at;
+        request.attempts++;
+        request.out = server;
+        request.sentAt = at;
     }
 }
--- a/src/test/java/anisebend/ReconfigureTest.java
+++ b/src/test/java/anisebend/ReconfigureTest.java
@@ -1,7 +1,7 @@
 package anisebend;
 
-import static anisebend.World.MS;
-import static anisebend.World.READ;
+import static anisebend.BalancerHarness.MS;
+import static anisebend.BalancerHarness.READ;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,12 +12,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Other settings while requests are open. */
+/** Changes settings while requests are in flight. */
 class ReconfigureTest {
-    private final World world = new World(false).list(ListKind.FULL, "a1", "a2", "b3");
+    private final BalancerHarness harness = new BalancerHarness(false).list(ListKind.FULL, "a1", "a2", "b3");
 
     private static Balancer.Settings with(int maxAttempts, Balancer.RequestClass... further) {
-        Balancer.Settings s = World.settings(false);
+        Balancer.Settings s = BalancerHarness.settings(false);
         List<Balancer.RequestClass> classes = new ArrayList<>(s.classes());
         classes.addAll(List.of(further));
         return new Balancer.Settings(
@@ -46,39 +46,39 @@
     }
 
     @Test
-    void openRequestsKeepTheirAttemptsAndNewOnesGetFewer() {
-        world.ask("old", READ, "k");
-        world.balancer.reconfigure(world.now, with(1));
-        world.ask("new", READ, "j");
-        world.answer("new", Code.ERROR).pass(1000 * MS);
-        assertEquals(1, world.sends("new"));
-        assertTrue(world.recorder.has("refuse new") || world.recorder.has("fail new"));
-        world.answer("old", Code.ERROR).pass(1000 * MS);
-        assertEquals(2, world.sends("old"));
+    void openRequestsKeepTheirAttemptLimit() {
+        harness.ask("old", READ, "k");
+        harness.balancer.reconfigure(harness.now, with(1));
+        harness.ask("new", READ, "j");
+        harness.answer("new", Code.ERROR).pass(1000 * MS);
+        assertEquals(1, harness.sends("new"));
+        assertTrue(harness.recorder.has("refuse new") || harness.recorder.has("fail new"));
+        harness.answer("old", Code.ERROR).pass(1000 * MS);
+        assertEquals(2, harness.sends("old"));
     }
 
     @Test
-    void aFurtherClassGoesByItsOwnRulesAtServersThatWereKnownBefore() {
-        int further = World.settings(false).classes().size();
-        world.ask("before", READ, "k").answer("before", Code.OK).pass(100 * MS);
-        world.balancer.reconfigure(world.now, with(4, unsafe(2000 * MS)));
-        world.ask("once", further, "k").answer("once", Code.ERROR).pass(1000 * MS);
-        assertEquals(1, world.sends("once"), "it may have run");
-        assertTrue(world.recorder.has("fail once"));
-        world.ask("read", READ, "k").answer("read", Code.ERROR).pass(1000 * MS);
-        assertEquals(2, world.sends("read"));
+    void addedClassFollowsItsOwnRulesAtKnownServers() {
+        int further = BalancerHarness.settings(false).classes().size();
+        harness.ask("before", READ, "k").answer("before", Code.OK).pass(100 * MS);
+        harness.balancer.reconfigure(harness.now, with(4, unsafe(2000 * MS)));
+        harness.ask("once", further, "k").answer("once", Code.ERROR).pass(1000 * MS);
+        assertEquals(1, harness.sends("once"), "it may have run");
+        assertTrue(harness.recorder.has("fail once"));
+        harness.ask("read", READ, "k").answer("read", Code.ERROR).pass(1000 * MS);
+        assertEquals(2, harness.sends("read"));
     }
 
-    /** A tenant's quota is a whole that all balancers share: with ten times as many each lets a tenth of it pass. */
+    /** All balancers share a tenant's quota: with a hundred times as many each admits a hundredth of it. */
     @Test
-    void aQuotaIsSharedByAsManyAsTheSettingsSayNow() {
+    void quotaIsSharedByTheConfiguredNumberOfBalancers() {
         assertEquals(0, refusedOverShare(2));
-        assertTrue(refusedOverShare(200) > 0, "all pass as if two shared it");
+        assertTrue(refusedOverShare(200) > 0, "all admitted as if two balancers shared it");
     }
 
     private static int refusedOverShare(int balancers) {
-        World one = new World(false).list(ListKind.FULL, "a1");
-        Balancer.Settings s = World.settings(false);
+        BalancerHarness one = new BalancerHarness(false).list(ListKind.FULL, "a1");
+        Balancer.Settings s = BalancerHarness.settings(false);
         one.balancer.reconfigure(
                 one.now,
                 new Balancer.Settings(
@@ -107,11 +107,11 @@
     }
 
     @Test
-    void changesNothingWhereASettingCannotBeWorkedWith() {
+    void invalidSettingsChangeNothing() {
         for (Balancer.Settings bad : List.of(with(0), with(4, unsafe(0)))) {
-            assertThrows(IllegalArgumentException.class, () -> world.balancer.reconfigure(world.now, bad));
+            assertThrows(IllegalArgumentException.class, () -> harness.balancer.reconfigure(harness.now, bad));
         }
-        world.ask("read", READ, "k").answer("read", Code.ERROR).pass(1000 * MS);
-        assertEquals(2, world.sends("read"));
+        harness.ask("read", READ, "k").answer("read", Code.ERROR).pass(1000 * MS);
+        assertEquals(2, harness.sends("read"));
     }
 }
--- a/src/test/java/gorsemast/admission/ConcurrencyLimiterTest.java
+++ b/src/test/java/gorsemast/admission/ConcurrencyLimiterTest.java
@@ -15,37 +15,37 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Places for requests that take time: never more than there are, and long ones leave room for the others. */
+/** Checks that the slots in use stay within the limit and that long requests leave slots for the others. */
 class ConcurrencyLimiterTest {
-    private static final int PLACES = 6;
-    private static final int FOR_LONG = 4;
+    private static final int SLOTS = 6;
+    private static final int MAX_SLOTS_IF_SLOW = 4;
     private static final long SHORT_MICROS = 60_000;
     private static final long LONG_MICROS = 800_000;
 
-    private static final Kind CALL = new Kind("call", 200_000, FOR_LONG);
-    private static final Kind LONG = new Kind("long", 200_000, FOR_LONG);
+    private static final Kind CALL = new Kind("call", 200_000, MAX_SLOTS_IF_SLOW);
+    private static final Kind LONG = new Kind("long", 200_000, MAX_SLOTS_IF_SLOW);
 
-    private static final Waiter NOBODY = new Waiter() {
+    private static final Waiter NO_CALLBACK = new Waiter() {
         @Override
         public void admitted() {
-            throw new IllegalStateException("nobody may wait here");
+            throw new IllegalStateException("no request may be queued here");
         }
 
         @Override
         public void refused() {
-            throw new IllegalStateException("nobody may wait here");
+            throw new IllegalStateException("no request may be queued here");
         }
     };
 
     private record Held(long until, Kind kind, long micros) {}
 
-    /** Calls of 60 ms, eight a second, beside long answers; returns the parts that found a place: of calls, of long answers. */
+    /** Simulates eight 60 ms calls a second beside long responses; returns the admitted fractions of calls and of long ones. */
     private static double[] play(double longPerSecond, long seed) {
-        ConcurrencyLimiter admission = new ConcurrencyLimiter(PLACES, 0);
+        ConcurrencyLimiter admission = new ConcurrencyLimiter(SLOTS, 0);
         SplittableRandom random = new SplittableRandom(seed);
         PriorityQueue<Held> held = new PriorityQueue<>((a, b) -> Long.compare(a.until, b.until));
-        long[] asked = new long[2];
-        long[] entered = new long[2];
+        long[] requested = new long[2];
+        long[] admittedCount = new long[2];
         double all = 8 + longPerSecond;
         long now = 0;
         while (now < 60_000_000) {
@@ -57,79 +57,81 @@
             int which = random.nextDouble() * all < 8 ? 0 : 1;
             Kind kind = which == 0 ? CALL : LONG;
             long micros = which == 0 ? SHORT_MICROS : LONG_MICROS;
-            asked[which]++;
-            if (admission.acquire(kind, now, NOBODY) == Admission.ADMITTED) {
-                entered[which]++;
+            requested[which]++;
+            if (admission.acquire(kind, now, NO_CALLBACK) == Admission.ADMITTED) {
+                admittedCount[which]++;
                 held.add(new Held(now + micros, kind, micros));
             }
-            assertThat(admission.slotsInUse()).isBetween(0, PLACES).isEqualTo(held.size());
+            assertThat(admission.slotsInUse()).isBetween(0, SLOTS).isEqualTo(held.size());
         }
-        return new double[] {(double) entered[0] / asked[0], (double) entered[1] / asked[1]};
+        return new double[] {(double) admittedCount[0] / requested[0], (double) admittedCount[1] / requested[1]};
     }
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void longAnswersLeaveRoomForTheOthers(long seed) {
+    void longResponsesLeaveSlotsForOthers(long seed) {
         assertThat(play(1, seed)[0]).as("few long ones").isGreaterThan(0.99);
-        double[] crowded = play(40, seed);
-        assertThat(crowded[0]).as("more long ones than places").isGreaterThan(0.85);
-        assertThat(crowded[1]).as("the long ones use what is left").isGreaterThan(0.08);
+        double[] overloaded = play(40, seed);
+        assertThat(overloaded[0]).as("more long ones than slots").isGreaterThan(0.85);
+        assertThat(overloaded[1]).as("the long ones use what is left").isGreaterThan(0.08);
     }
 
     @Test
-    void whereAllAreAlikeAllPlacesAreUsed() {
-        ConcurrencyLimiter admission = new ConcurrencyLimiter(PLACES, 0);
+    void allSlotsAreUsedByRequestsOfOneKind() {
+        ConcurrencyLimiter admission = new ConcurrencyLimiter(SLOTS, 0);
         for (int i = 0; i < 50; i++) {
-            assertThat(admission.acquire(CALL, i, NOBODY)).isEqualTo(Admission.ADMITTED);
+            assertThat(admission.acquire(CALL, i, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
             admission.release(CALL, SHORT_MICROS, i);
         }
-        for (int i = 0; i < PLACES; i++) {
-            assertThat(admission.acquire(CALL, i, NOBODY)).as("place %d", i).isEqualTo(Admission.ADMITTED);
+        for (int i = 0; i < SLOTS; i++) {
+            assertThat(admission.acquire(CALL, i, NO_CALLBACK)).as("slot %d", i).isEqualTo(Admission.ADMITTED);
         }
-        assertThat(admission.acquire(CALL, 100, NOBODY)).isEqualTo(Admission.REFUSED);
+        assertThat(admission.acquire(CALL, 100, NO_CALLBACK)).isEqualTo(Admission.REFUSED);
     }
 
-    /** Also not a kind that takes longer than its aim and would else have one place of them. */
+    /** Without a limit a kind that exceeds its target latency isn't refused either, although it may hold one slot only. */
     @Test
-    void whereNothingIsShortLongRequestsAreNotRefused() {
+    void unboundedLimiterRefusesNoSlowRequest() {
         ConcurrencyLimiter admission = new ConcurrencyLimiter(ConcurrencyLimiter.UNBOUNDED, 0);
         Kind slow = new Kind("slow", 1_000, 1);
         for (int i = 0; i < 100; i++) {
-            assertThat(admission.acquire(slow, i, NOBODY)).as("request %d", i).isEqualTo(Admission.ADMITTED);
+            assertThat(admission.acquire(slow, i, NO_CALLBACK))
+                    .as("request %d", i)
+                    .isEqualTo(Admission.ADMITTED);
             admission.release(slow, LONG_MICROS, i);
-            assertThat(admission.acquire(slow, i, NOBODY))
+            assertThat(admission.acquire(slow, i, NO_CALLBACK))
                     .as("beside it, %d", i)
                     .isEqualTo(Admission.ADMITTED);
         }
     }
 
     @Test
-    void whereNothingIsShortNobodyIsRefused() {
+    void unboundedLimiterRefusesNothing() {
         ConcurrencyLimiter admission = new ConcurrencyLimiter(Integer.MAX_VALUE, 0);
         for (int i = 0; i < 10_000; i++) {
-            assertThat(admission.acquire(new Kind("kind " + i % 7, 1, 1_000_000), i, NOBODY))
+            assertThat(admission.acquire(new Kind("kind " + i % 7, 1, 1_000_000), i, NO_CALLBACK))
                     .isEqualTo(Admission.ADMITTED);
         }
     }
 
-    // ---- who may wait
+    // ---- queueing
 
-    /** One kind in a crowd: how often it is asked for and how long one request holds a place. */
+    /** The load of one kind: its request rate and how long a request holds a slot. */
     private record Traffic(Kind kind, double perSecond, long workMicros) {}
 
-    /** What became of a kind's requests. */
+    /** Counts of a kind's requests by outcome. */
     private static final class Tally {
-        private int asked;
+        private int requested;
         private int admitted;
         private int waited;
 
         double served() {
-            return (double) admitted / asked;
+            return (double) admitted / requested;
         }
     }
 
-    /** A crowd in virtual time, a minute long; requests that wait leave when their time is over. */
-    private static final class Crowd {
+    /** Simulates a minute of traffic in virtual time; queued requests expire after their maximum wait. */
+    private static final class TrafficSimulation {
         private record Ending(long at, Runnable what) {}
 
         private final ConcurrencyLimiter limiter;
@@ -137,8 +139,8 @@
         private final SplittableRandom random;
         private long now;
 
-        Crowd(int mostWaiting, long seed) {
-            limiter = new ConcurrencyLimiter(PLACES, mostWaiting);
+        TrafficSimulation(int maxWaiting, long seed) {
+            limiter = new ConcurrencyLimiter(SLOTS, maxWaiting);
             random = new SplittableRandom(seed);
         }
 
@@ -160,13 +162,13 @@
                     drawn -= all.get(which++).perSecond;
                 }
                 ask(all.get(which), tallies.get(all.get(which).kind.name()));
-                assertThat(limiter.slotsInUse()).isBetween(0, PLACES);
+                assertThat(limiter.slotsInUse()).isBetween(0, SLOTS);
             }
             return tallies;
         }
 
         private void ask(Traffic one, Tally tally) {
-            tally.asked++;
+            tally.requested++;
             Waiter waiter = new Waiter() {
                 @Override
                 public void admitted() {
@@ -175,7 +177,7 @@
 
                 @Override
                 public void refused() {
-                    // it has given way
+                    // displaced by another request
                 }
             };
             switch (limiter.acquire(one.kind, now, waiter)) {
@@ -185,7 +187,7 @@
                     endings.add(new Ending(now + one.kind.maxWaitMicros(), () -> limiter.expire(waiter)));
                 }
                 default -> {
-                    // it comes back as another request
+                    // a retry counts as another request
                 }
             }
         }
@@ -196,111 +198,118 @@
         }
     }
 
-    private static final Traffic BUSY = new Traffic(new Kind("busy", 200_000, PLACES), 300, 50_000);
-    private static final Traffic BUSY_TOO = new Traffic(new Kind("busy too", 200_000, PLACES), 150, 50_000);
-    private static final Traffic RARE = new Traffic(new Kind("rare", 200_000, PLACES), 1, 50_000);
+    private static final Traffic BUSY = new Traffic(new Kind("busy", 200_000, SLOTS), 300, 50_000);
+    private static final Traffic BUSY_TOO = new Traffic(new Kind("busy too", 200_000, SLOTS), 150, 50_000);
+    private static final Traffic RARE = new Traffic(new Kind("rare", 200_000, SLOTS), 1, 50_000);
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aRareKindIsServedBesideBusyOnesAndCostsThemNothing(long seed) {
+    void rareKindIsServedBesideBusyOnesAtNoCost(long seed) {
         List<Traffic> all = List.of(BUSY, BUSY_TOO, RARE);
-        Map<String, Tally> without = new Crowd(0, seed).play(all);
-        Map<String, Tally> with = new Crowd(1, seed).play(all);
-        assertThat(without.get("rare").served()).as("where nobody may wait").isLessThan(0.5);
+        Map<String, Tally> without = new TrafficSimulation(0, seed).play(all);
+        Map<String, Tally> with = new TrafficSimulation(1, seed).play(all);
+        assertThat(without.get("rare").served()).as("without queueing").isLessThan(0.5);
         assertThat(with.get("rare").served()).isGreaterThan(0.95);
         int before = without.values().stream().mapToInt(one -> one.admitted).sum();
         int after = with.values().stream().mapToInt(one -> one.admitted).sum();
-        assertThat(after).as("no place stands idle").isGreaterThanOrEqualTo((int) (0.99 * before));
-        assertThat(with.get("busy").waited).as("who holds most does not wait").isLessThan(with.get("busy").asked / 100);
+        assertThat(after).as("no slot is left idle").isGreaterThanOrEqualTo((int) (0.99 * before));
+        assertThat(with.get("busy").waited)
+                .as("the busiest kind does not wait")
+                .isLessThan(with.get("busy").requested / 100);
     }
 
-    /** It gets less than its fair share, as there are busier ones; if it waited for that the socket for it would be taken all the time. */
+    /** A kind with high demand that obtains less than its fair share must not wait, or it would occupy the waiting socket all the time. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whoAsksForFarTooMuchDoesNotWaitThoughItGetsLittle(long seed) {
-        Traffic third = new Traffic(new Kind("third", 200_000, PLACES), 60, 50_000);
-        Map<String, Tally> tallies = new Crowd(1, seed).play(List.of(BUSY, BUSY_TOO, third, RARE));
+    void kindWithHighDemandDoesNotWaitDespiteFewSlots(long seed) {
+        Traffic third = new Traffic(new Kind("third", 200_000, SLOTS), 60, 50_000);
+        Map<String, Tally> tallies = new TrafficSimulation(1, seed).play(List.of(BUSY, BUSY_TOO, third, RARE));
         assertThat(tallies.get("third").served()).isLessThan(0.5);
-        assertThat(tallies.get("third").waited).isLessThan(tallies.get("third").asked / 20);
+        assertThat(tallies.get("third").waited).isLessThan(tallies.get("third").requested / 20);
         assertThat(tallies.get("rare").served()).isGreaterThan(0.95);
     }
 
-    /** Of two kinds that are rare alike both are served; of a rarer one that comes while one waits the other gives way. */
+    /** A waiting request is displaced by one of a rarer kind, which then gets the next slot. */
     @Test
-    void theLightestGoesFirst() {
-        ConcurrencyLimiter limiter = new ConcurrencyLimiter(PLACES, 1);
-        Kind light = new Kind("light", 200_000, PLACES);
-        Kind lighter = new Kind("lighter", 200_000, PLACES);
-        List<String> told = new ArrayList<>();
-        assertThat(limiter.acquire(light, 0, NOBODY)).isEqualTo(Admission.ADMITTED);
+    void lowestDemandGoesFirst() {
+        ConcurrencyLimiter limiter = new ConcurrencyLimiter(SLOTS, 1);
+        Kind light = new Kind("light", 200_000, SLOTS);
+        Kind lighter = new Kind("lighter", 200_000, SLOTS);
+        List<String> callbacks = new ArrayList<>();
+        assertThat(limiter.acquire(light, 0, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
         limiter.release(light, SHORT_MICROS, SHORT_MICROS);
-        for (int i = 0; i < PLACES; i++) {
-            assertThat(limiter.acquire(CALL, 1_000_000, NOBODY)).isEqualTo(Admission.ADMITTED);
+        for (int i = 0; i < SLOTS; i++) {
+            assertThat(limiter.acquire(CALL, 1_000_000, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
         }
         long now = 3_000_000;
-        assertThat(limiter.acquire(CALL, now, NOBODY)).as("holds all").isEqualTo(Admission.REFUSED);
-        assertThat(limiter.acquire(light, now, telling("light", told))).isEqualTo(Admission.QUEUED);
-        assertThat(limiter.acquire(lighter, now, telling("lighter", told))).isEqualTo(Admission.QUEUED);
-        assertThat(told).containsExactly("light refused");
-        assertThat(limiter.acquire(light, now, telling("light", told)))
-                .as("gives way to nobody")
+        assertThat(limiter.acquire(CALL, now, NO_CALLBACK))
+                .as("holds all slots")
+                .isEqualTo(Admission.REFUSED);
+        assertThat(limiter.acquire(light, now, recordingWaiter("light", callbacks)))
+                .isEqualTo(Admission.QUEUED);
+        assertThat(limiter.acquire(lighter, now, recordingWaiter("lighter", callbacks)))
+                .isEqualTo(Admission.QUEUED);
+        assertThat(callbacks).containsExactly("light refused");
+        assertThat(limiter.acquire(light, now, recordingWaiter("light", callbacks)))
+                .as("does not displace a rarer kind")
                 .isEqualTo(Admission.REFUSED);
         limiter.release(CALL, SHORT_MICROS, now);
-        assertThat(told).containsExactly("light refused", "lighter admitted");
-        assertThat(limiter.slotsInUse()).isEqualTo(PLACES);
+        assertThat(callbacks).containsExactly("light refused", "lighter admitted");
+        assertThat(limiter.slotsInUse()).isEqualTo(SLOTS);
         assertThat(limiter.waiting()).isZero();
     }
 
     @Test
-    void whoHasLeftIsNotAdmitted() {
+    void withdrawnRequestIsNotAdmitted() {
         ConcurrencyLimiter limiter = new ConcurrencyLimiter(1, 1);
-        List<String> told = new ArrayList<>();
-        Waiter waiter = telling("one", told);
-        assertThat(limiter.acquire(CALL, 0, NOBODY)).isEqualTo(Admission.ADMITTED);
+        List<String> callbacks = new ArrayList<>();
+        Waiter waiter = recordingWaiter("one", callbacks);
+        assertThat(limiter.acquire(CALL, 0, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
         assertThat(limiter.acquire(LONG, 0, waiter)).isEqualTo(Admission.QUEUED);
         assertThat(limiter.withdraw(waiter)).isTrue();
         assertThat(limiter.withdraw(waiter)).as("once only").isFalse();
         limiter.release(CALL, SHORT_MICROS, SHORT_MICROS);
-        assertThat(told).isEmpty();
+        assertThat(callbacks).isEmpty();
         assertThat(limiter.slotsInUse()).isZero();
     }
 
-    /** A frequent kind whose requests end at once, as what they need is taken: they would wait on that socket one after the other. */
+    /** Requests of a frequent kind that fail at once, as a resource is in use, would occupy the waiting socket one after the other. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void whoIsFrequentDoesNotWaitHoweverShortItsRequestsAre(long seed) {
-        Traffic quick = new Traffic(new Kind("quick", 200_000, PLACES), 120, 2_000);
-        Map<String, Tally> tallies = new Crowd(1, seed).play(List.of(BUSY, quick, RARE));
-        assertThat(tallies.get("quick").waited).isLessThan(tallies.get("quick").asked / 20);
+    void frequentKindDoesNotWaitHoweverShortItsRequests(long seed) {
+        Traffic quick = new Traffic(new Kind("quick", 200_000, SLOTS), 120, 2_000);
+        Map<String, Tally> tallies = new TrafficSimulation(1, seed).play(List.of(BUSY, quick, RARE));
+        assertThat(tallies.get("quick").waited).isLessThan(tallies.get("quick").requested / 20);
         assertThat(tallies.get("rare").served()).isGreaterThan(0.95);
     }
 
-    /** Servers that hang hold all places: the socket on which requests wait must go on turning others round. */
+    /** Hanging servers hold all slots: the socket on which requests wait must go on serving others. */
     @Test
-    void afterOneHasWaitedInVainNobodyWaitsUntilAPlaceComesFree() {
+    void noRequestWaitsAfterAnExpiryUntilASlotIsReleased() {
         ConcurrencyLimiter limiter = new ConcurrencyLimiter(1, 1);
-        List<String> told = new ArrayList<>();
-        Waiter first = telling("first", told);
-        assertThat(limiter.acquire(CALL, 0, NOBODY)).isEqualTo(Admission.ADMITTED);
+        List<String> callbacks = new ArrayList<>();
+        Waiter first = recordingWaiter("first", callbacks);
+        assertThat(limiter.acquire(CALL, 0, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
         assertThat(limiter.acquire(LONG, 0, first)).isEqualTo(Admission.QUEUED);
         assertThat(limiter.expire(first)).isTrue();
-        assertThat(limiter.acquire(LONG, 100_000, NOBODY)).isEqualTo(Admission.REFUSED);
+        assertThat(limiter.acquire(LONG, 100_000, NO_CALLBACK)).isEqualTo(Admission.REFUSED);
         limiter.release(CALL, SHORT_MICROS, 200_000);
-        assertThat(limiter.acquire(CALL, 200_000, NOBODY)).isEqualTo(Admission.ADMITTED);
-        assertThat(limiter.acquire(LONG, 200_000, telling("next", told))).isEqualTo(Admission.QUEUED);
-        assertThat(told).isEmpty();
+        assertThat(limiter.acquire(CALL, 200_000, NO_CALLBACK)).isEqualTo(Admission.ADMITTED);
+        assertThat(limiter.acquire(LONG, 200_000, recordingWaiter("next", callbacks)))
+                .isEqualTo(Admission.QUEUED);
+        assertThat(callbacks).isEmpty();
     }
 
-    private static Waiter telling(String name, List<String> told) {
+    private static Waiter recordingWaiter(String name, List<String> callbacks) {
         return new Waiter() {
             @Override
             public void admitted() {
-                told.add(name + " admitted");
+                callbacks.add(name + " admitted");
             }
 
             @Override
             public void refused() {
-                told.add(name + " refused");
+                callbacks.add(name + " refused");
             }
         };
     }
--- a/src/test/java/gorsemast/admission/ConnectionAdmissionTest.java
+++ b/src/test/java/gorsemast/admission/ConnectionAdmissionTest.java
@@ -10,201 +10,205 @@
 import org.junit.jupiter.api.Test;
 
 class ConnectionAdmissionTest {
-    private static final int PLACES = 16;
-    /** So many of them may have asked before idle ones go. */
-    private static final int KEPT = 10;
+    private static final int CAPACITY = 16;
+    /** Number of connections with a request up to which no idle one is closed. */
+    private static final int IDLE_LIMIT = 10;
 
-    private final ConnectionAdmission<String> door = new ConnectionAdmission<>(PLACES);
+    private final ConnectionAdmission<String> admission = new ConnectionAdmission<>(CAPACITY);
     private long now = 1_000_000;
 
     private void idle(int from, int to) {
         for (int i = from; i < to; i++) {
-            door.opened(now, "c" + i);
-            door.requestReceived(now, "c" + i);
-            door.responseSent(now++, "c" + i);
+            admission.opened(now, "c" + i);
+            admission.requestReceived(now, "c" + i);
+            admission.responseSent(now++, "c" + i);
         }
     }
 
-    /** What the incident r268a78 was: all places taken by those that asked once, and 70 of 100 refused. */
+    /** Incident r268a78: clients that sent one request held the whole capacity, and 70 of 100 requests were refused. */
     @Test
-    void idleOnesGoLongBeforeThePlacesEnd() {
-        idle(0, KEPT);
-        assertEquals(List.of(), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
-        idle(KEPT, KEPT + 2);
-        assertEquals(List.of("c0", "c1"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+    void idleConnectionsAreClosedLongBeforeTheLimit() {
+        idle(0, IDLE_LIMIT);
+        assertEquals(List.of(), admission.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+        idle(IDLE_LIMIT, IDLE_LIMIT + 2);
+        assertEquals(
+                List.of("c0", "c1"), admission.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
     @Test
-    void theLongestIdleGoesAndNotTheLongestThere() {
-        idle(0, KEPT);
-        door.requestReceived(now, "c0");
-        door.responseSent(now, "c0");
-        idle(KEPT, KEPT + 1);
-        assertEquals(List.of("c1"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+    void longestIdleIsClosedRatherThanOldest() {
+        idle(0, IDLE_LIMIT);
+        admission.requestReceived(now, "c0");
+        admission.responseSent(now, "c0");
+        idle(IDLE_LIMIT, IDLE_LIMIT + 1);
+        assertEquals(List.of("c1"), admission.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
     @Test
-    void whoIsBusyStays() {
-        idle(0, KEPT + 2);
-        door.requestReceived(now, "c0");
-        door.requestReceived(now, "c1");
-        assertEquals(List.of("c2", "c3"), door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+    void busyConnectionsStay() {
+        idle(0, IDLE_LIMIT + 2);
+        admission.requestReceived(now, "c0");
+        admission.requestReceived(now, "c1");
+        assertEquals(
+                List.of("c2", "c3"), admission.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 
-    /** Clients of a draining process can't come back, so their connections stay while there is room. */
+    /** Clients of a draining process can't connect again, so their connections stay while there is capacity. */
     @Test
-    void idleOnesStayDuringADrain() {
-        door.drain(0);
-        idle(0, PLACES - 1);
-        assertEquals(List.of(), door.connectionsToClose(now));
-        idle(PLACES - 1, PLACES);
-        assertEquals(List.of("c0"), door.connectionsToClose(now));
+    void idleConnectionsStayDuringADrain() {
+        admission.drain(0);
+        idle(0, CAPACITY - 1);
+        assertEquals(List.of(), admission.connectionsToClose(now));
+        idle(CAPACITY - 1, CAPACITY);
+        assertEquals(List.of("c0"), admission.connectionsToClose(now));
     }
 
     @Test
-    void silentOnesGoFirstAtTheBound() {
-        idle(0, KEPT);
-        for (int i = KEPT; i < PLACES; i++) {
-            door.opened(now, "s" + i);
+    void silentConnectionsAreClosedFirstAtTheLimit() {
+        idle(0, IDLE_LIMIT);
+        for (int i = IDLE_LIMIT; i < CAPACITY; i++) {
+            admission.opened(now, "s" + i);
         }
-        assertFalse(door.hasCapacity());
-        assertEquals(List.of("c0"), door.connectionsToClose(now), "nobody has been silent for long enough");
+        assertFalse(admission.hasCapacity());
+        assertEquals(List.of("c0"), admission.connectionsToClose(now), "none has been silent for long enough");
         now += ConnectionAdmission.SILENT_MICROS + 1;
-        List<String> silent = door.connectionsToClose(now);
-        assertEquals(PLACES - KEPT, silent.size());
-        assertTrue(silent.stream().allMatch(guest -> guest.startsWith("s")));
+        List<String> silent = admission.connectionsToClose(now);
+        assertEquals(CAPACITY - IDLE_LIMIT, silent.size());
+        assertTrue(silent.stream().allMatch(connection -> connection.startsWith("s")));
     }
 
     @Test
-    void turnedAwayOnesGoAtTheBound() {
-        idle(0, KEPT);
-        for (int i = KEPT; i < PLACES; i++) {
-            door.opened(now, "b" + i);
-            door.requestReceived(now, "b" + i);
+    void rejectedConnectionsAreClosedAtTheLimit() {
+        idle(0, IDLE_LIMIT);
+        for (int i = IDLE_LIMIT; i < CAPACITY; i++) {
+            admission.opened(now, "b" + i);
+            admission.requestReceived(now, "b" + i);
         }
-        door.rejected(now, "b12");
+        admission.rejected(now, "b12");
         now += ConnectionAdmission.SILENT_MICROS + 1;
-        assertTrue(door.connectionsToClose(now).contains("b12"));
-        door.closed("b12");
-        assertTrue(door.hasCapacity());
+        assertTrue(admission.connectionsToClose(now).contains("b12"));
+        admission.closed("b12");
+        assertTrue(admission.hasCapacity());
     }
 
     @Test
-    void whereAllAreBusyNobodyMoreComesIn() {
-        for (int i = 0; i < PLACES; i++) {
-            door.opened(now, "c" + i);
-            door.requestReceived(now, "c" + i);
+    void nothingIsAcceptedWhileAllAreBusy() {
+        for (int i = 0; i < CAPACITY; i++) {
+            admission.opened(now, "c" + i);
+            admission.requestReceived(now, "c" + i);
         }
-        assertFalse(door.hasCapacity());
-        assertEquals(List.of(), door.connectionsToClose(now));
-        door.closed("c3");
-        assertTrue(door.hasCapacity());
+        assertFalse(admission.hasCapacity());
+        assertEquals(List.of(), admission.connectionsToClose(now));
+        admission.closed("c3");
+        assertTrue(admission.hasCapacity());
     }
 
     @Test
-    void fewerPlacesMakeTheLongestIdleGo() {
-        idle(0, KEPT);
-        door.setCapacity(4);
+    void lowerCapacityClosesTheLongestIdle() {
+        idle(0, IDLE_LIMIT);
+        admission.setCapacity(4);
         assertEquals(
                 List.of("c0", "c1", "c2", "c3", "c4", "c5", "c6", "c7"),
-                door.connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS)
+                admission
+                        .connectionsToClose(now + ConnectionAdmission.RECENTLY_ANSWERED_MICROS)
                         .subList(0, 8));
     }
 
-    /** Whatever happens: who is busy is never named, nobody is named twice, and what is over is named if idle. */
+    /** In any order of events no busy connection is selected, none twice, and idle ones over the capacity are. */
     @Test
-    void holdsItsBoundsInAnyOrderOfEvents() {
+    void limitsHoldInAnyOrderOfEvents() {
         SplittableRandom random = new SplittableRandom(7);
         List<String> busy = new ArrayList<>();
         List<String> idle = new ArrayList<>();
         for (int step = 0; step < 20_000; step++) {
             now += random.nextInt(50_000);
-            String guest = "g" + random.nextInt(40);
-            busy.remove(guest);
-            idle.remove(guest);
+            String connection = "g" + random.nextInt(40);
+            busy.remove(connection);
+            idle.remove(connection);
             switch (random.nextInt(5)) {
-                case 0 -> door.opened(now, guest);
+                case 0 -> admission.opened(now, connection);
                 case 1 -> {
-                    door.requestReceived(now, guest);
-                    busy.add(guest);
+                    admission.requestReceived(now, connection);
+                    busy.add(connection);
                 }
                 case 2 -> {
-                    door.responseSent(now, guest);
-                    idle.add(guest);
+                    admission.responseSent(now, connection);
+                    idle.add(connection);
                 }
-                case 3 -> door.rejected(now, guest);
-                default -> door.closed(guest);
+                case 3 -> admission.rejected(now, connection);
+                default -> admission.closed(connection);
             }
-            List<String> gone = door.connectionsToClose(now);
-            assertEquals(gone.size(), gone.stream().distinct().count());
-            assertTrue(gone.stream().noneMatch(busy::contains));
-            assertTrue(gone.stream().allMatch(g -> !g.equals(guest) || idle.contains(g) || !busy.contains(g)));
-            gone.forEach(g -> {
-                door.closed(g);
+            List<String> selected = admission.connectionsToClose(now);
+            assertEquals(selected.size(), selected.stream().distinct().count());
+            assertTrue(selected.stream().noneMatch(busy::contains));
+            assertTrue(selected.stream().allMatch(g -> !g.equals(connection) || idle.contains(g) || !busy.contains(g)));
+            selected.forEach(g -> {
+                admission.closed(g);
                 idle.remove(g);
             });
-            assertTrue(door.size() < PLACES || idle.isEmpty(), "an idle one stays while nobody more may come in");
+            assertTrue(admission.size() < CAPACITY || idle.isEmpty(), "an idle connection stays at the limit");
         }
     }
 
-    private static void answered(ConnectionAdmission<Integer> door, int guests) {
-        for (int guest = 0; guest < guests; guest++) {
-            door.opened(0, guest);
-            door.requestReceived(0, guest);
-            door.responseSent(0, guest);
+    private static void answered(ConnectionAdmission<Integer> admission, int connections) {
+        for (int connection = 0; connection < connections; connection++) {
+            admission.opened(0, connection);
+            admission.requestReceived(0, connection);
+            admission.responseSent(0, connection);
         }
     }
 
     @Test
-    void aDrainKeepsTheLastConnectionsFree() {
-        ConnectionAdmission<Integer> door = new ConnectionAdmission<>(100);
-        answered(door, 40);
-        for (int guest = 10; guest < 40; guest++) {
-            door.requestReceived(0, guest);
+    void drainKeepsTheLastConnectionsIdle() {
+        ConnectionAdmission<Integer> admission = new ConnectionAdmission<>(100);
+        answered(admission, 40);
+        for (int connection = 10; connection < 40; connection++) {
+            admission.requestReceived(0, connection);
         }
-        assertFalse(door.mustRefuseInDrain(0, false), "no drain");
-        door.drain(0);
+        assertFalse(admission.mustRefuseInDrain(0, false), "no drain");
+        admission.drain(0);
         assertFalse(
-                door.mustRefuseInDrain(ConnectionAdmission.DRAIN_ACCEPT_MICROS, false),
-                "who needs one more may still come");
+                admission.mustRefuseInDrain(ConnectionAdmission.DRAIN_ACCEPT_MICROS, false),
+                "clients may still open one more");
         long later = ConnectionAdmission.DRAIN_ACCEPT_MICROS + 1;
-        assertFalse(door.mustRefuseInDrain(later, false), "a quarter is free");
-        door.requestReceived(later, 0);
-        assertTrue(door.mustRefuseInDrain(later, false));
-        assertFalse(door.mustRefuseInDrain(later, true), "half of that is for the worthiest");
-        for (int guest = 1; guest < 6; guest++) {
-            door.requestReceived(later, guest);
+        assertFalse(admission.mustRefuseInDrain(later, false), "a quarter is free");
+        admission.requestReceived(later, 0);
+        assertTrue(admission.mustRefuseInDrain(later, false));
+        assertFalse(admission.mustRefuseInDrain(later, true), "half of that is for the most important class");
+        for (int connection = 1; connection < 6; connection++) {
+            admission.requestReceived(later, connection);
         }
-        assertTrue(door.mustRefuseInDrain(later, true));
-        door.responseSent(later, 39);
-        assertFalse(door.mustRefuseInDrain(later, true));
+        assertTrue(admission.mustRefuseInDrain(later, true));
+        admission.responseSent(later, 39);
+        assertFalse(admission.mustRefuseInDrain(later, true));
     }
 
     @Test
-    void aSmallDrainKeepsSomeFreeTooAndServesOn() {
-        for (int guests : new int[] {1, 2, 5, 2 * ConnectionAdmission.DRAIN_IDLE_MIN}) {
+    void drainOfFewConnectionsKeepsSomeIdleAndServes() {
+        for (int connections : new int[] {1, 2, 5, 2 * ConnectionAdmission.DRAIN_IDLE_MIN}) {
             ConnectionAdmission<Integer> small = new ConnectionAdmission<>(100);
             small.drain(0);
-            answered(small, guests);
-            int taken = 0;
-            while (taken < guests && !small.mustRefuseInDrain(1_000_000, false)) {
-                small.requestReceived(1_000_000, taken++);
+            answered(small, connections);
+            int accepted = 0;
+            while (accepted < connections && !small.mustRefuseInDrain(1_000_000, false)) {
+                small.requestReceived(1_000_000, accepted++);
             }
-            assertEquals(guests / 2 + 1, taken, "of " + guests + " half serve, and one more is noticed");
+            assertEquals(
+                    connections / 2 + 1, accepted, "of " + connections + " half serve, and one more until the refusal");
         }
     }
 
     @Test
-    void whoWasAnsweredJustNowKeepsHisPlace() {
-        ConnectionAdmission<Integer> door = new ConnectionAdmission<>(16);
-        for (int guest = 0; guest < 12; guest++) {
-            door.opened(0, guest);
-            door.requestReceived(0, guest);
+    void recentlyAnsweredConnectionStays() {
+        ConnectionAdmission<Integer> admission = new ConnectionAdmission<>(16);
+        for (int connection = 0; connection < 12; connection++) {
+            admission.opened(0, connection);
+            admission.requestReceived(0, connection);
         }
-        door.responseSent(1_000, 3);
-        door.responseSent(2_000, 4);
-        assertEquals(List.of(), door.connectionsToClose(1_000), "beyond the part that idle ones may hold, yet young");
-        assertEquals(List.of(3), door.connectionsToClose(1_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
-        assertEquals(List.of(3, 4), door.connectionsToClose(2_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+        admission.responseSent(1_000, 3);
+        admission.responseSent(2_000, 4);
+        assertEquals(List.of(), admission.connectionsToClose(1_000), "over the idle limit, but answered recently");
+        assertEquals(List.of(3), admission.connectionsToClose(1_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
+        assertEquals(List.of(3, 4), admission.connectionsToClose(2_000 + ConnectionAdmission.RECENTLY_ANSWERED_MICROS));
     }
 }
--- a/src/test/java/gorsemast/admission/LoadShedderTest.java
+++ b/src/test/java/gorsemast/admission/LoadShedderTest.java
@@ -24,23 +24,23 @@
         }
     }
 
-    private double part(int type, int tenant, boolean repeat) {
-        int gone = 0;
+    private double shedFraction(int type, int tenant, boolean retry) {
+        int shed = 0;
         for (int i = 0; i < 1_000; i++) {
-            gone += shedder.shouldShed(type, tenant, repeat, random.nextDouble()) ? 1 : 0;
-            shedder.shouldShed(type, 1 - tenant, repeat, 1); // so that both tenants ask for the same
+            shed += shedder.shouldShed(type, tenant, retry, random.nextDouble()) ? 1 : 0;
+            shedder.shouldShed(type, 1 - tenant, retry, 1); // so that both tenants send equally many
         }
-        return gone / 1000.0;
+        return shed / 1000.0;
     }
 
     @Test
-    void turnsNobodyAwayWhileItIsInTime() {
+    void shedsNothingWithinTheTarget() {
         run(5_000, LoadShedder.TARGET_MICROS);
         assertEquals(0, shedder.level());
-        assertEquals(0, part(READ, 0, true));
+        assertEquals(0, shedFraction(READ, 0, true));
     }
 
-    /** A full queue for a moment is no overload: once within an interval it was empty. */
+    /** A queue that was empty once within the interval is no overload. */
     @Test
     void burstsAreNoOverload() {
         for (int i = 0; i < 100; i++) {
@@ -51,49 +51,49 @@
     }
 
     @Test
-    void standingLatenessTurnsTheLeastWorthAwayFirst() {
+    void lastingLatenessShedsTheLeastImportantFirst() {
         double reads = 0;
         double transfers = 0;
         double topups = 0;
         boolean inOrder = true;
         for (int i = 0; i < 60; i++) {
             run(100, 30_000);
-            reads = part(READ, 0, false);
-            transfers = part(TRANSFER, 0, false);
-            topups = part(TOPUP, 0, false);
+            reads = shedFraction(READ, 0, false);
+            transfers = shedFraction(TRANSFER, 0, false);
+            topups = shedFraction(TOPUP, 0, false);
             inOrder &= reads + 0.1 >= transfers && transfers + 0.1 >= topups && (topups == 0 || reads == 1);
         }
         assertTrue(inOrder);
         assertEquals(1, reads);
         assertEquals(1, transfers);
-        assertTrue(topups > 0.8 && topups < 1, "some always pass, or recovery could not show: " + topups);
+        assertTrue(topups > 0.8 && topups < 1, "some always pass, so that recovery is noticed: " + topups);
     }
 
     @Test
-    void whatIsBeyondAShareGoesBeforeAnythingWithin() {
+    void requestsOverTheirShareAreShedFirst() {
         for (int i = 0; i < 200; i++) {
             shedder.shouldShed(READ, 0, false, 0.5);
         }
         run(300, 30_000);
-        int beyond = 0;
-        int within = 0;
+        int overShare = 0;
+        int withinShare = 0;
         for (int i = 0; i < 100; i++) {
-            beyond += shedder.shouldShed(TOPUP, 0, false, random.nextDouble()) ? 1 : 0;
-            within += i % 4 == 0 && shedder.shouldShed(READ, 1, false, random.nextDouble()) ? 1 : 0;
+            overShare += shedder.shouldShed(TOPUP, 0, false, random.nextDouble()) ? 1 : 0;
+            withinShare += i % 4 == 0 && shedder.shouldShed(READ, 1, false, random.nextDouble()) ? 1 : 0;
         }
-        assertTrue(beyond > 20, "beyond: " + beyond);
-        assertEquals(0, within);
+        assertTrue(overShare > 20, "over the share: " + overShare);
+        assertEquals(0, withinShare);
     }
 
     @Test
-    void repeatsGoBeforeFirstTries() {
+    void retriesAreShedBeforeFirstAttempts() {
         run(600, 30_000);
-        assertTrue(part(READ, 0, true) > part(READ, 0, false) + 0.2);
+        assertTrue(shedFraction(READ, 0, true) > shedFraction(READ, 0, false) + 0.2);
     }
 
-    /** What broke is over: within two seconds nothing is turned away, without anything having to succeed. */
+    /** Once the cause is gone, shedding ends within two seconds, without any request having to succeed. */
     @Test
-    void comesBackByItself() {
+    void recoversByItself() {
         run(10_000, 500_000);
         assertTrue(shedder.level() > 3);
         run(2_000, 0);
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void toldToComeBackLaterTheLongerItLastsAndSpread() {
+    void retryDelayGrowsWithTheOverloadAndIsSpread() {
         long before = shedder.retryAfterMicros(0.5);
         run(2_000, 30_000);
         assertTrue(shedder.retryAfterMicros(0.5) > 2 * before);
@@ -110,12 +110,12 @@
     }
 
     @Test
-    void latenessShowsBeforeTheTickRuns() {
+    void latenessIsKnownBeforeTheTickRuns() {
         Lateness lateness = new Lateness(0, TICK);
         assertEquals(0, lateness.estimate(TICK - 1));
-        assertEquals(70_000, lateness.estimate(TICK + 70_000), "the loop was away and has not run it yet");
+        assertEquals(70_000, lateness.estimate(TICK + 70_000), "the overdue tick has not run yet");
         assertEquals(70_000, lateness.tick(TICK + 70_000));
-        assertEquals(70_000, lateness.estimate(TICK + 70_001), "what is handled right behind it was as late");
+        assertEquals(70_000, lateness.estimate(TICK + 70_001), "events right after the tick were as late");
         assertEquals(0, lateness.estimate(2 * TICK + 70_000));
     }
 }
--- a/src/test/java/gorsemast/pool/ConnectionPoolsTest.java
+++ b/src/test/java/gorsemast/pool/ConnectionPoolsTest.java
@@ -34,14 +34,14 @@
     }
 
     @Test
-    void opensOneForEachThatWaitsAndNoMore() {
+    void opensOneForEachWaitingAttempt() {
         assertEquals(2, grow(NODE, 2));
         assertEquals(OpenDecision.WAIT, pools.decideOpen(now, NODE, 2));
     }
 
-    /** A burst doubles the pool each round trip; all at once would be a storm of handshakes. */
+    /** A burst doubles the pool each round trip; opening all at once would overload the node with handshakes. */
     @Test
-    void burstsOpenAtABoundedPace() {
+    void burstsOpenAtALimitedRate() {
         assertEquals(ConnectionPools.MIN_CONNECTING, grow(NODE, 30));
         for (int i = 0; i < ConnectionPools.MIN_CONNECTING; i++) {
             pools.connected(NODE);
@@ -54,15 +54,16 @@
     }
 
     @Test
-    void aFailureWithNothingOpenTellsOfTheNode() {
+    void failureWithNothingOpenCountsAgainstTheNode() {
         pools.connectStarted(now, NODE);
         assertTrue(pools.connectFailed(now, NODE));
-        assertEquals(OpenDecision.OPEN, pools.decideOpen(now, NODE, 1), "the module paces what goes to such a node");
+        assertEquals(
+                OpenDecision.OPEN, pools.decideOpen(now, NODE, 1), "the decision module paces requests to such a node");
     }
 
-    /** The table of the node is full: what it let in is kept to, and one more is tried, later each time. */
+    /** If the node's table is full, the pool keeps its size and tries one more at growing intervals. */
     @Test
-    void aFailureBesideOpenOnesIsABoundAndNotADeadNode() {
+    void failureBesideOpenConnectionsSetsALimit() {
         open(NODE, 5);
         pools.connectStarted(now, NODE);
         assertFalse(pools.connectFailed(now, NODE));
@@ -81,7 +82,7 @@
         assertEquals(1, grow(NODE, 3));
         pools.connected(NODE);
         assertEquals(6, pools.openCount(NODE));
-        assertEquals(1, grow(NODE, 3), "it has let one more in, so the next is tried at once");
+        assertEquals(1, grow(NODE, 3), "it accepted one more, so the next is tried at once");
     }
 
     @Test
@@ -95,11 +96,11 @@
             other.connectFailed(now, NODE);
             at.merge((other.nextTrialAt(NODE) - now) / 10_000, 1, Integer::sum);
         }
-        assertTrue(at.values().stream().allMatch(n -> n < 40), "so many in one 10 ms: " + at);
+        assertTrue(at.values().stream().allMatch(n -> n < 40), "trials by 10 ms: " + at);
     }
 
     @Test
-    void atTheBoundWhoHasNoneGetsNone() {
+    void nodeWithoutConnectionsGetsNoneAtTheLimit() {
         open("a", 40);
         assertEquals(OpenDecision.NONE, pools.decideOpen(now, NODE, 1));
         assertEquals(OpenDecision.WAIT, pools.decideOpen(now, "a", 1));
@@ -111,7 +112,7 @@
     }
 
     @Test
-    void descriptorsAreSharedOutWhenTheyRunShort() {
+    void scarceDescriptorsAreShared() {
         open("a", 30);
         open("b", 3);
         open("c", 3);
@@ -119,9 +120,9 @@
         assertEquals(OpenDecision.OPEN, pools.decideOpen(now, "b", 1));
     }
 
-    /** A node that closes often gets its connections back before they are asked for, as far as uses earned them. */
+    /** Connections to a node that closes them often are reopened before they are needed, as far as earlier uses allow. */
     @Test
-    void keepsWarmForTheUsualRate() {
+    void sparesAreOpenedForThePeakInUse() {
         open(NODE, 3);
         for (int i = 0; i < 30; i++) {
             pools.acquired(now, NODE);
@@ -130,18 +131,18 @@
             pools.released(NODE);
         }
         pools.closed(NODE);
-        assertFalse(pools.shouldOpenSpare(now, NODE), "two are as many as are used at once");
+        assertFalse(pools.shouldOpenSpare(now, NODE), "two are open, as many as were in use at once");
         pools.closed(NODE);
         assertTrue(pools.shouldOpenSpare(now, NODE));
         pools.connectStarted(now, NODE);
-        assertFalse(pools.shouldOpenSpare(now, NODE), "one is coming up");
+        assertFalse(pools.shouldOpenSpare(now, NODE), "one is being opened");
         pools.connectFailed(now, NODE);
         now += 10 * ConnectionPools.HALF_LIFE_MICROS;
-        assertFalse(pools.shouldOpenSpare(now, NODE), "nobody has asked for long");
+        assertFalse(pools.shouldOpenSpare(now, NODE), "unused for long");
     }
 
     @Test
-    void sparesAreEarnedByUses() {
+    void sparesAreLimitedByUses() {
         int opened = 0;
         for (int i = 0; i < 1_000; i++) {
             open(NODE, 1);
@@ -156,12 +157,12 @@
                 opened++;
             }
         }
-        assertTrue(opened > 0 && opened <= 2_000 / ConnectionPools.USES_PER_SPARE + 4, "opened ahead: " + opened);
+        assertTrue(opened > 0 && opened <= 2_000 / ConnectionPools.USES_PER_SPARE + 4, "spares opened: " + opened);
     }
 
-    /** Ids of nodes are ever new: what is kept for one that has left must go with its last connection. */
+    /** Node ids are never reused, so the record of a removed node must go with its last connection. */
     @Test
-    void nodesThatLeaveAreForgotten() {
+    void removedNodesAreForgotten() {
         for (int i = 0; i < 100; i++) {
             String node = "n" + i;
             open(node, 2);
@@ -169,7 +170,7 @@
             pools.connectStarted(now, node);
             pools.closed(node);
             pools.removeNode(node);
-            assertEquals(1, pools.nodes(), "one is open and one is coming up");
+            assertEquals(1, pools.nodes(), "one is open and one is being opened");
             pools.connectFailed(now, node);
             pools.closed(node);
             pools.released(node);
@@ -178,9 +179,9 @@
         assertEquals(0, pools.total());
     }
 
-    /** Counts never go below nothing nor over the bound, whatever comes in whatever order. */
+    /** Counts match a model and stay within the limit in any order of events. */
     @Test
-    void holdsItsBoundsInAnyOrderOfEvents() {
+    void limitsHoldInAnyOrderOfEvents() {
         SplittableRandom random = new SplittableRandom(11);
         Map<String, int[]> model = new HashMap<>();
         for (int step = 0; step < 50_000; step++) {
--- a/src/test/java/gorsemast/retention/BodyBudgetTest.java
+++ b/src/test/java/gorsemast/retention/BodyBudgetTest.java
@@ -15,7 +15,7 @@
     private final BodyBudget<String> budget = new BodyBudget<>(100);
 
     @Test
-    void handsOutInTheOrderOfAsking() {
+    void grantsInOrderOfRequest() {
         assertTrue(budget.reserve("a", 60));
         assertFalse(budget.reserve("b", 50));
         assertFalse(budget.reserve("c", 10), "it would fit, and b would starve");
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void whoLeavesTheRowLetsOthersThrough() {
+    void leavingTheQueueUnblocksOthers() {
         budget.reserve("a", 60);
         budget.reserve("b", 100);
         budget.reserve("c", 40);
@@ -40,16 +40,16 @@
     @Test
     void onlyOneGrowsAtATimeAndGoesFirst() {
         assertTrue(budget.growTo("g", 40));
-        assertFalse(budget.growTo("h", 10), "two that grow could wait for each other");
+        assertFalse(budget.growTo("h", 10), "two growing bodies could wait for each other");
         assertTrue(budget.growTo("g", 60));
         assertEquals(60, budget.reserved(), "in all, and not on top");
-        assertFalse(budget.reserve("a", 30), "who waits to grow came before");
-        assertFalse(budget.growTo("g", 101), "beyond all there is");
+        assertFalse(budget.reserve("a", 30), "the waiting growth is first");
+        assertFalse(budget.growTo("g", 101), "beyond the capacity");
         assertEquals(List.of("h", "a"), budget.release("g"));
     }
 
     @Test
-    void aGrowingOneIsNotHeldUpByThoseThatBegin() {
+    void growthGoesBeforeNewBodies() {
         assertTrue(budget.growTo("g", 40));
         assertTrue(budget.reserve("a", 60));
         assertFalse(budget.growTo("g", 50));
@@ -58,40 +58,40 @@
         assertEquals(70, budget.reserved());
     }
 
-    /** Whatever comes in whatever order, the bound holds and everybody ends. */
+    /** In any order of requests the limit holds and all requests end. */
     @Test
-    void neverExceedsItsBoundAndNeverStandsStill() {
+    void neverExceedsItsLimitAndNeverDeadlocks() {
         for (int seed = 0; seed < 200; seed++) {
             Random random = new Random(seed);
-            BodyBudget<Integer> room = new BodyBudget<>(100);
-            Map<Integer, Integer> left = new HashMap<>(); // steps that each still has to grow
-            List<Integer> going = new ArrayList<>();
-            for (int guest = 0; guest < 50; guest++) {
+            BodyBudget<Integer> shared = new BodyBudget<>(100);
+            Map<Integer, Integer> remainingSteps = new HashMap<>(); // remaining growth steps of each request
+            List<Integer> active = new ArrayList<>();
+            for (int request = 0; request < 50; request++) {
                 boolean known = random.nextBoolean();
-                left.put(guest, known ? 0 : 1 + random.nextInt(3));
-                if (known ? room.reserve(guest, 1 + random.nextInt(100)) : room.growTo(guest, 20)) {
-                    going.add(guest);
+                remainingSteps.put(request, known ? 0 : 1 + random.nextInt(3));
+                if (known ? shared.reserve(request, 1 + random.nextInt(100)) : shared.growTo(request, 20)) {
+                    active.add(request);
                 }
-                assertTrue(room.reserved() <= 100);
+                assertTrue(shared.reserved() <= 100);
             }
             int ended = 0;
-            while (!going.isEmpty()) {
-                Integer guest = going.remove(random.nextInt(going.size()));
-                int steps = left.get(guest);
+            while (!active.isEmpty()) {
+                Integer request = active.remove(random.nextInt(active.size()));
+                int steps = remainingSteps.get(request);
                 if (steps > 0) {
-                    left.put(guest, steps - 1);
-                    if (room.growTo(guest, 20 + 20 * (4 - steps))) {
-                        going.add(guest);
+                    remainingSteps.put(request, steps - 1);
+                    if (shared.growTo(request, 20 + 20 * (4 - steps))) {
+                        active.add(request);
                     }
                 } else {
                     ended++;
-                    going.addAll(room.release(guest));
+                    active.addAll(shared.release(request));
                 }
-                assertTrue(room.reserved() <= 100, "seed " + seed);
+                assertTrue(shared.reserved() <= 100, "seed " + seed);
             }
             assertEquals(50, ended, "seed " + seed);
-            assertEquals(0, room.reserved());
-            assertEquals(0, room.waiting());
+            assertEquals(0, shared.reserved());
+            assertEquals(0, shared.waiting());
         }
     }
 }
--- a/src/test/java/gorsemast/retune/ClassNumberingTest.java
+++ b/src/test/java/gorsemast/retune/ClassNumberingTest.java
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aDroppedClassKeepsItsNumberAndLosesItsName() {
+    void removedClassKeepsItsNumberWithoutAName() {
         ClassNumbering next = FIRST.with(List.of("topup"), List.of(ONCE));
         assertEquals(-1, next.number("read"));
         assertEquals(1, next.number("topup"));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void otherRulesGetAnotherNumberAndTheOldOnesStay() {
+    void changedRulesGetANewNumber() {
         ClassNumbering next = FIRST.with(List.of("topup", "read"), List.of(READ, READ));
         assertEquals(2, next.number("topup"));
         assertEquals(0, next.number("read"));
@@ -48,18 +48,18 @@
     }
 
     @Test
-    void endsWhereOnlyARestartHelps() {
-        ClassNumbering book = FIRST;
-        for (int i = book.rules().size(); i < ClassNumbering.MAX_CLASSES; i++) {
-            book = book.with(List.of("read"), List.of(rules(Effect.SAFE, 2_000 + i)));
+    void rejectsMoreThanTheMaximumOfClasses() {
+        ClassNumbering numbering = FIRST;
+        for (int i = numbering.rules().size(); i < ClassNumbering.MAX_CLASSES; i++) {
+            numbering = numbering.with(List.of("read"), List.of(rules(Effect.SAFE, 2_000 + i)));
         }
-        ClassNumbering full = book;
+        ClassNumbering full = numbering;
         assertThrows(IllegalArgumentException.class, () -> full.with(List.of("new"), List.of(READ)));
         assertEquals(0, full.with(List.of("read"), List.of(READ)).number("read"));
     }
 
     @Test
-    void turnsDownNoClassAndOneNameTwice() {
+    void rejectsNoClassAndDuplicateNames() {
         assertThrows(IllegalArgumentException.class, () -> FIRST.with(List.of(), List.of()));
         assertThrows(IllegalArgumentException.class, () -> FIRST.with(List.of("a", "a"), List.of(READ, ONCE)));
     }
--- a/src/test/java/gorsemast/retune/ConfigurationShapeTest.java
+++ b/src/test/java/gorsemast/retune/ConfigurationShapeTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void takesOtherValuesAndMoreKeys() {
+    void acceptsOtherValuesAndMoreKeys() {
         assertDoesNotThrow(() -> ConfigurationShape.check(
                 PRESENT,
                 next(Map.of(
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void namesTheKeyThatIsMissingAtAnyDepth() {
+    void namesTheMissingKeyAtAnyDepth() {
         assertEquals("key missing: settings", missing(Map.of("name", "n", "known", 1.0)));
         assertEquals("key missing: known", missing(Map.of("name", "n", "settings", PRESENT.get("settings"))));
         assertEquals(
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void turnsDownAnotherKindOfValue() {
+    void rejectsAnotherTypeOfValue() {
         assertEquals("settings must be an object", missing(next(List.of())));
         assertEquals(
                 "settings.lanes must be an array",
