--- a/src/main/java/anisebend/net/ClientConnection.java
+++ b/src/main/java/anisebend/net/ClientConnection.java
@@ -30,31 +30,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One client's connection, on which one request is in hand at a time. A request is taken when the read that
- * completes it is done and nothing came behind it: a client waits for its answer before it asks again, so whoever
- * sends on regardless is turned away and nothing of it reaches the module.
+ * A client connection, which processes one request at a time. A request is dispatched when the read that completes it
+ * has ended and no further bytes followed it. Clients must wait for a response before they send the next request:
+ * pipelined requests are rejected and never reach the decision module.
  */
 final class ClientConnection extends ChannelInboundHandlerAdapter implements Engine.Client, ResponseSink {
-    /** A bad client is owed an error or a close within 3 s; a good one sends its request in far less. */
-    private static final long WHOLE_MICROS = 2_000_000;
-    /** A body may take so much longer as this many bytes a second would. */
-    private static final long SLOWEST_BYTES = 64_000;
-    /** A body of unknown length asks for room in steps. */
-    private static final long GROWTH = 1 << 20;
-    /** A connection may be closed 2 s after its last answer. */
-    private static final long IDLE_MICROS = 2_500_000;
-    /** Who takes nothing of a long answer for this long has stopped reading. */
-    private static final long STALLED_MICROS = 10_000_000;
-    /** Who says nothing for this long makes room first when there is none. */
-    private static final long SILENT_MICROS = 200_000;
-    /** A client that was turned away is not listened to for this long, however fast it asks again. */
-    private static final long PAUSE_MILLIS = 250;
+    /** Time limit for receiving a request. A stalled client must get an error or a close within 3 s. */
+    private static final long REQUEST_TIMEOUT_MICROS = 2_000_000;
+    /** Minimum transfer rate of a body, which extends the time limit in proportion to the bytes received. */
+    private static final long MIN_BODY_BYTES_PER_SECOND = 64_000;
+    /** Step by which the reservation for a body of unknown length grows. */
+    private static final long BODY_GROWTH_BYTES = 1 << 20;
+    /** Idle time before a connection is closed. Closing is allowed from 2 s after the last response. */
+    private static final long IDLE_TIMEOUT_MICROS = 2_500_000;
+    /** A client that reads nothing of a streamed response for this long counts as stalled. */
+    private static final long STALL_TIMEOUT_MICROS = 10_000_000;
+    /** A connection that is silent for longer may be closed first when no slots are left. */
+    private static final long SILENCE_MICROS = 200_000;
+    /** Pause in reading from a rejected client, which bounds the rate of its repeated requests. */
+    private static final long REJECTION_PAUSE_MILLIS = 250;
 
     /**
-     * Says that nothing more comes before it closes: who has sent more than was read would else have a reset at once,
-     * and may lose the answer with it.
+     * Shuts down output before closing. Closing a socket with unread input resets the connection, and the client may
+     * lose the response.
      */
-    private static final ChannelFutureListener PART = written -> {
+    private static final ChannelFutureListener HALF_CLOSE = written -> {
         if (written.isSuccess() && written.channel() instanceof DuplexChannel duplex) {
             duplex.shutdownOutput().addListener(done -> duplex.eventLoop().execute(duplex::close));
         } else {
@@ -62,41 +62,41 @@
         }
     };
 
-    /** What the server does for all connections. */
+    /** The services and state that connections share. */
     interface Owner {
         ProxyConfig config();
 
         Engine engine();
 
-        /** Room for bodies that are longer than {@link RequestHead#SHORT_BODY}. */
+        /** Memory budget of the bodies that are longer than {@link RequestHead#SHORT_BODY}. */
         BodyBudget<Body> bodies();
 
-        /** Gives the room of a body back. */
+        /** Releases the reservation of a body. */
         void letGo(Body body);
 
-        /** What a probe at the clients' address is told. */
+        /** Readiness as reported to a probe at the clients' address. */
         boolean ready();
 
-        /** Whether connections are to end with their answers. */
+        /** Whether connections are to be closed after their responses. */
         boolean closing();
 
         void opened(ClientConnection connection);
 
         void closed(ClientConnection connection);
 
-        /** When a request is to come back that this process has no time for, in microseconds; 0 takes it. */
+        /** Microseconds after which a request that this process must shed may be retried; 0 accepts it. */
         long turnsAway(RequestHead head);
 
-        /** A whole request is in hand. */
+        /** Called when a whole request has been received. */
         void asks(ClientConnection connection);
 
-        /** A request of a class that is configured has been answered with this status. */
+        /** Called when a request of a configured class has been answered with this status. */
         default void answered(int requestClass, HttpResponseStatus status) {}
 
-        /** An answer has been written and no request is in hand. */
-        void idle(ClientConnection connection, boolean turnedAway);
+        /** Called when a response has been written and no request is open. */
+        void idle(ClientConnection connection, boolean rejected);
 
-        /** For observers: something happened at the door, in a word. */
+        /** Counts an event of a connection under the given name. */
         default void counted(String what) {}
     }
 
@@ -112,94 +112,95 @@
     private final StrictHttp.Requests decoder;
     private final Owner owner;
     private State state = State.NEW;
-    /** When this state began. */
-    private long since;
+    /** When this state began, or a response in it last made progress. */
+    private long stateSince;
 
-    private boolean turnedAway;
-    /** The same within the present read. */
-    private boolean turnedAwayNow;
+    /** Whether the last request was rejected. */
+    private boolean lastRejected;
+    /** Whether a request was rejected within the current read. */
+    private boolean rejectedInRead;
 
     private HttpRequest request;
     private RequestHead head;
     private Body body;
-    /** The class of the request in hand, -1 where it has none. */
+    /** The class of the open request, -1 where it has none. */
     private int requestClass = -1;
 
     private boolean complete;
     private boolean keepAlive;
-    /** When the request that is being read is to come back; 0 for one that is taken. Nothing is kept of it. */
-    private long comeBack;
-    /** How much of its body has come. */
-    private long received;
-    /** When its head was whole, or it got room. */
-    private long bodySince;
+    /** The retry delay of the request being read if it is to be refused, else 0. A refused body is not buffered. */
+    private long refusalRetryMicros;
+    /** Bytes received of its body. */
+    private long receivedBytes;
+    /** When its head was complete or its memory was granted; starts the time limit of the body. */
+    private long bodyStartedAt;
 
     private Engine.Exchange exchange;
-    /** The source of an answer that is being passed on. */
-    private ResponseSink.FlowControl passing;
-    /** How many bytes of that are still to come; negative where it is not known. */
-    private long rest;
-    /** An answer was long: its client may stand still within it, also when the last of it has been written here. */
-    private boolean wasLong;
-    /** What the system had not taken yet when it was last looked at. */
-    private long unsent;
-
-    private boolean old;
-
-    /** A request's body on its way in, with the room that it has or waits for. */
+    /** Flow control of the response that is being streamed, else null. */
+    private ResponseSink.FlowControl responseFlow;
+    /** Bytes of that response still to come; negative where the length is unknown. */
+    private long remainingBytes;
+    /** Whether the last response was streamed; its client may stall even after the last part was written here. */
+    private boolean lastStreamed;
+    /** Bytes that the socket had not accepted yet at the last check. */
+    private long lastPendingBytes;
+
+    private boolean http10;
+
+    /** A request body being received, with its memory reservation, granted or pending. */
     final class Body {
-        private final BodyBuffer kept = new BodyBuffer(channel.alloc());
-        private final boolean expected;
-        private long room = RequestHead.SHORT_BODY;
-        private boolean waits;
-        private boolean over;
+        private final BodyBuffer buffer = new BodyBuffer(channel.alloc());
+        private final boolean expectsContinue;
+        private long reservedBytes = RequestHead.SHORT_BODY;
+        private boolean awaitsMemory;
+        private boolean released;
 
-        Body(boolean expected) {
-            this.expected = expected;
+        Body(boolean expectsContinue) {
+            this.expectsContinue = expectsContinue;
         }
 
-        /** Makes sure of room for so many bytes, all of them where that is {@code known}; until then nothing is read. */
-        private void need(long bytes, boolean known) {
-            if (bytes <= room || waits) {
+        /** Reserves memory for so many bytes, the whole body if {@code known}. Reading stops until it is granted. */
+        private void ensureReserved(long bytes, boolean known) {
+            if (bytes <= reservedBytes || awaitsMemory) {
                 return;
             }
-            room = known
+            reservedBytes = known
                     ? bytes
-                    : Math.min(Math.min(RequestHead.MAX_BODY, owner.bodies().capacity()), bytes + GROWTH);
-            waits = known
-                    ? !owner.bodies().reserve(this, room)
-                    : !owner.bodies().growTo(this, room);
-            if (waits) {
+                    : Math.min(Math.min(RequestHead.MAX_BODY, owner.bodies().capacity()), bytes + BODY_GROWTH_BYTES);
+            awaitsMemory = known
+                    ? !owner.bodies().reserve(this, reservedBytes)
+                    : !owner.bodies().growTo(this, reservedBytes);
+            if (awaitsMemory) {
                 owner.counted("body waits");
                 channel.config().setAutoRead(false);
             }
         }
 
-        /** It has its room; its time begins anew, as it could send nothing. */
+        /** Resumes reading once the memory is granted. The time limit starts anew, as the client could send nothing. */
         void admitted() {
-            waits = false;
+            awaitsMemory = false;
             channel.config().setAutoRead(true);
             if (body == this) {
-                bodySince = owner.engine().now() - receivedTime();
-                goOn();
+                bodyStartedAt = owner.engine().now() - receivedAllowanceMicros();
+                sendContinue();
             }
         }
 
-        private void goOn() {
-            if (expected && received == 0) {
+        private void sendContinue() {
+            if (expectsContinue && receivedBytes == 0) {
                 channel.writeAndFlush(new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
             }
         }
 
-        /** Nothing of it is needed any more. */
+        /** Releases the reservation, as the body is no longer needed. */
         void done() {
-            if (!over) {
-                over = true;
-                if (waits) {
+            if (!released) {
+                released = true;
+                if (awaitsMemory) {
                     channel.config().setAutoRead(true);
                 }
-                if (waits || room > RequestHead.SHORT_BODY) {
+                if (awaitsMemory || reservedBytes > RequestHead.SHORT_BODY) {
                     owner.letGo(this);
                 }
             }
@@ -214,10 +215,10 @@
 
     private void enter(State next) {
         state = next;
-        since = owner.engine().now();
+        stateSince = owner.engine().now();
     }
 
-    // ---- what comes from the client
+    // ---- requests
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
@@ -229,17 +230,17 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         owner.closed(this);
         owner.counted(state + ">closed");
-        dropRequest();
+        discardRequest();
         state = State.CLOSING;
-        if (passing != null) {
-            ResponseSink.FlowControl source = passing;
-            passing = null;
-            source.cancel();
+        if (responseFlow != null) {
+            ResponseSink.FlowControl abortedFlow = responseFlow;
+            responseFlow = null;
+            abortedFlow.cancel();
         }
         if (exchange != null) {
-            Engine.Exchange left = exchange;
+            Engine.Exchange abandoned = exchange;
             exchange = null;
-            owner.engine().gone(left);
+            owner.engine().gone(abandoned);
         }
     }
 
@@ -254,7 +255,7 @@
             read(message);
         } catch (RuntimeException e) {
             System.err.println("fault: " + e);
-            turnAway(HttpResponseStatus.BAD_GATEWAY, false);
+            reject(HttpResponseStatus.BAD_GATEWAY, false);
         } finally {
             ReferenceCountUtil.release(message);
         }
@@ -265,158 +266,158 @@
             return;
         }
         if (state == State.BUSY) {
-            keepAlive = false; // it has sent ahead: the answer in hand is its last, and the rest is dropped
+            keepAlive = false; // pipelined input: the pending response is the last, and the input is dropped
             return;
         }
-        if (message instanceof HttpRequest && (complete || turnedAwayNow)) {
-            turnAway(HttpResponseStatus.BAD_REQUEST, false); // more requests than one in a read
+        if (message instanceof HttpRequest && (complete || rejectedInRead)) {
+            reject(HttpResponseStatus.BAD_REQUEST, false); // more than one request in a read
             return;
         }
-        if (message instanceof HttpRequest start) {
-            begin(start);
+        if (message instanceof HttpRequest httpRequest) {
+            begin(httpRequest);
         }
         if (message instanceof HttpContent content && state == State.READING) {
-            add(content);
+            addContent(content);
         }
     }
 
-    private void begin(HttpRequest start) {
+    private void begin(HttpRequest httpRequest) {
         if (state != State.READING) {
             enter(State.READING);
         }
-        request = start;
-        wasLong = false;
-        received = 0;
-        head = new RequestHead(start, owner.config());
-        keepAlive = HttpUtil.isKeepAlive(start);
-        old = start.protocolVersion().equals(HttpVersion.HTTP_1_0);
+        request = httpRequest;
+        lastStreamed = false;
+        receivedBytes = 0;
+        head = new RequestHead(httpRequest, owner.config());
+        keepAlive = HttpUtil.isKeepAlive(httpRequest);
+        http10 = httpRequest.protocolVersion().equals(HttpVersion.HTTP_1_0);
         requestClass = head.problem == null && head.id != null ? head.requestClass : -1;
-        comeBack = head.problem == null && head.id != null ? owner.turnsAway(head) : 0;
+        refusalRetryMicros = head.problem == null && head.id != null ? owner.turnsAway(head) : 0;
         if (head.problem != null) {
-            turnAway(head.problem, head.framed && keepAlive);
-        } else if (comeBack > 0 && !head.framed && HttpUtil.is100ContinueExpected(start)) {
-            dropRequest();
-            keepAlive = false; // whether the body still comes is up to the client
-            refused(comeBack);
+            reject(head.problem, head.framed && keepAlive);
+        } else if (refusalRetryMicros > 0 && !head.framed && HttpUtil.is100ContinueExpected(httpRequest)) {
+            discardRequest();
+            keepAlive = false; // the client decides whether it still sends the body
+            refused(refusalRetryMicros);
         } else if (head.id != null && !head.framed) {
-            body = new Body(HttpUtil.is100ContinueExpected(start));
-            bodySince = owner.engine().now();
+            body = new Body(HttpUtil.is100ContinueExpected(httpRequest));
+            bodyStartedAt = owner.engine().now();
             if (head.length > Math.max(owner.bodies().capacity(), RequestHead.SHORT_BODY)) {
-                turnAway(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false);
+                reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false);
                 return;
             }
-            if (comeBack == 0) {
-                body.need(head.length, true);
+            if (refusalRetryMicros == 0) {
+                body.ensureReserved(head.length, true);
             }
-            if (!body.waits) {
-                body.goOn();
+            if (!body.awaitsMemory) {
+                body.sendContinue();
             }
-        } else if (HttpUtil.is100ContinueExpected(start)) {
+        } else if (HttpUtil.is100ContinueExpected(httpRequest)) {
             channel.writeAndFlush(new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
         }
     }
 
-    private void add(HttpContent content) {
-        ByteBuf part = content.content();
+    private void addContent(HttpContent content) {
+        ByteBuf chunk = content.content();
         if (content.decoderResult().isFailure()) {
-            turnAway(HttpResponseStatus.BAD_REQUEST, false);
-        } else if ((received += part.readableBytes()) > longest()) {
-            turnAway(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false);
+            reject(HttpResponseStatus.BAD_REQUEST, false);
+        } else if ((receivedBytes += chunk.readableBytes()) > maxBodyBytes()) {
+            reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, false);
         } else {
             complete = content instanceof LastHttpContent;
-            if (part.isReadable() && comeBack == 0 && body != null) {
-                body.kept.add(part);
+            if (chunk.isReadable() && refusalRetryMicros == 0 && body != null) {
+                body.buffer.add(chunk);
                 if (!complete) {
-                    body.need(received, false);
+                    body.ensureReserved(receivedBytes, false);
                 }
             }
         }
     }
 
-    private long longest() {
+    private long maxBodyBytes() {
         return Math.min(RequestHead.MAX_BODY, Math.max(owner.bodies().capacity(), RequestHead.SHORT_BODY));
     }
 
-    /** What a client may take for as much of its body as has come. */
-    private long receivedTime() {
-        return received * 1_000_000L / SLOWEST_BYTES;
+    /** The time that the minimum rate grants for the body bytes received so far. */
+    private long receivedAllowanceMicros() {
+        return receivedBytes * 1_000_000L / MIN_BODY_BYTES_PER_SECOND;
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        turnedAwayNow = false;
+        rejectedInRead = false;
         if (state == State.BUSY && !decoder.isEmpty()) {
             keepAlive = false;
         } else if (complete && !decoder.isEmpty()) {
-            turnAway(HttpResponseStatus.BAD_REQUEST, false);
+            reject(HttpResponseStatus.BAD_REQUEST, false);
         } else if (complete) {
             try {
-                take();
+                dispatch();
             } catch (RuntimeException e) {
                 System.err.println("fault: " + e);
-                answer(HttpResponseStatus.BAD_GATEWAY);
+                respond(HttpResponseStatus.BAD_GATEWAY);
             }
         } else if ((state == State.NEW || state == State.IDLE) && !decoder.isEmpty()) {
-            enter(State.READING); // the first bytes of a head
+            enter(State.READING); // the first bytes of a request head
         }
     }
 
-    private void take() {
-        HttpRequest start = request;
-        RequestHead wanted = head;
-        Body came = body;
+    private void dispatch() {
+        HttpRequest httpRequest = request;
+        RequestHead requestHead = head;
+        Body receivedBody = body;
         request = null;
         head = null;
         complete = false;
         body = null;
         enter(State.BUSY);
         owner.asks(this);
-        if (wanted.id == null) {
-            drop(came);
-            answer(owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
+        if (requestHead.id == null) {
+            releaseBody(receivedBody);
+            respond(owner.ready() ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        if (comeBack > 0) {
-            drop(came);
-            refused(comeBack);
+        if (refusalRetryMicros > 0) {
+            releaseBody(receivedBody);
+            refused(refusalRetryMicros);
             return;
         }
-        Engine.Exchange taken = owner.engine()
+        Engine.Exchange accepted = owner.engine()
                 .take(
                         new Engine.Call(
-                                start.method(),
-                                start.uri(),
-                                wanted.id,
-                                wanted.idempotencyKey,
-                                came == null ? Unpooled.EMPTY_BUFFER : came.kept.take(),
-                                wanted.requestClass,
-                                wanted.tenant,
-                                wanted.key.isEmpty() ? null : wanted.key,
-                                since,
-                                wanted.waitMicros,
-                                came == null ? () -> {} : came::done),
+                                httpRequest.method(),
+                                httpRequest.uri(),
+                                requestHead.id,
+                                requestHead.idempotencyKey,
+                                receivedBody == null ? Unpooled.EMPTY_BUFFER : receivedBody.buffer.take(),
+                                requestHead.requestClass,
+                                requestHead.tenant,
+                                requestHead.key.isEmpty() ? null : requestHead.key,
+                                stateSince,
+                                requestHead.waitMicros,
+                                receivedBody == null ? () -> {} : receivedBody::done),
                         this);
-        if (taken == null) {
-            turnAway(HttpResponseStatus.CONFLICT, keepAlive); // another's request of this id is open
-        } else if (!taken.answered()) { // it may have been, at once
-            exchange = taken;
+        if (accepted == null) {
+            reject(HttpResponseStatus.CONFLICT, keepAlive); // a request with this id is already open
+        } else if (!accepted.answered()) { // the engine may have answered at once
+            exchange = accepted;
         }
     }
 
-    private void dropRequest() {
+    private void discardRequest() {
         request = null;
         head = null;
         complete = false;
-        Body came = body;
+        Body receivedBody = body;
         body = null;
-        drop(came);
+        releaseBody(receivedBody);
     }
 
-    private static void drop(Body came) {
-        if (came != null) {
-            came.kept.release();
-            came.done();
+    private static void releaseBody(Body receivedBody) {
+        if (receivedBody != null) {
+            receivedBody.buffer.release();
+            receivedBody.done();
         }
     }
 
@@ -425,89 +426,92 @@
         ctx.close();
     }
 
-    // ---- what goes to the client
+    // ---- responses
 
-    /** An error for what is not taken; the connection stays only where the next request's beginning is certain. */
-    private void turnAway(HttpResponseStatus status, boolean stay) {
-        dropRequest();
-        turnedAway = true;
-        turnedAwayNow = true;
-        keepAlive = stay;
-        answer(status);
-        if (stay && state == State.IDLE) {
+    /** Answers with an error. The connection stays open only where the start of the next request is unambiguous. */
+    private void reject(HttpResponseStatus status, boolean keepOpen) {
+        discardRequest();
+        lastRejected = true;
+        rejectedInRead = true;
+        keepAlive = keepOpen;
+        respond(status);
+        if (keepOpen && state == State.IDLE) {
             channel.config().setAutoRead(false);
-            channel.eventLoop().schedule(() -> channel.config().setAutoRead(true), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+            channel.eventLoop()
+                    .schedule(() -> channel.config().setAutoRead(true), REJECTION_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     @Override
-    public void served(FullHttpResponse answer) {
+    public void served(FullHttpResponse upstreamResponse) {
         FullHttpResponse response = new DefaultFullHttpResponse(
-                HttpVersion.HTTP_1_1, HttpResponseStatus.OK, answer.content().retain());
-        copyType(answer, response);
-        turnedAway = false;
+                HttpVersion.HTTP_1_1,
+                HttpResponseStatus.OK,
+                upstreamResponse.content().retain());
+        copyContentType(upstreamResponse, response);
+        lastRejected = false;
         write(response);
     }
 
-    private static void copyType(HttpResponse from, HttpResponse to) {
+    private static void copyContentType(HttpResponse from, HttpResponse to) {
         String type = from.headers().get(HttpHeaderNames.CONTENT_TYPE);
         if (type != null) {
             to.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
         }
     }
 
-    /** Passes an answer on. Where its length is not known, HTTP/1.0 knows its end by the connection's alone. */
+    /** Starts streaming a response. In HTTP/1.0 only the connection's close ends a response of unknown length. */
     @Override
-    public ResponseSink begins(HttpResponse answer, long length, ResponseSink.FlowControl flow) {
+    public ResponseSink begins(HttpResponse upstreamResponse, long length, ResponseSink.FlowControl flow) {
         exchange = null;
-        passing = flow;
-        rest = length;
-        wasLong = true;
-        turnedAway = false;
-        concluded(HttpResponseStatus.OK);
+        responseFlow = flow;
+        remainingBytes = length;
+        lastStreamed = true;
+        lastRejected = false;
+        reportStatus(HttpResponseStatus.OK);
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
-        copyType(answer, response);
-        keepAlive &= !owner.closing() && channel.isWritable() && (length >= 0 || !old);
+        copyContentType(upstreamResponse, response);
+        keepAlive &= !owner.closing() && channel.isWritable() && (length >= 0 || !http10);
         if (length >= 0) {
             HttpUtil.setContentLength(response, length);
-        } else if (!old) {
+        } else if (!http10) {
             HttpUtil.setTransferEncodingChunked(response, true);
         }
         HttpUtil.setKeepAlive(response, keepAlive);
         channel.write(response);
-        since = owner.engine().now();
+        stateSince = owner.engine().now();
         return this;
     }
 
     @Override
     public void part(ByteBuf bytes) {
-        rest -= rest > 0 ? bytes.readableBytes() : 0;
+        remainingBytes -= remainingBytes > 0 ? bytes.readableBytes() : 0;
         channel.writeAndFlush(new DefaultHttpContent(bytes.retainedDuplicate()));
-        if (!channel.isWritable() && passing != null) {
-            since = owner.engine().now();
-            passing.pause(true);
+        if (!channel.isWritable() && responseFlow != null) {
+            stateSince = owner.engine().now();
+            responseFlow.pause(true);
         }
     }
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        if (passing != null && channel.isWritable()) {
-            since = owner.engine().now();
-            passing.pause(false);
+        if (responseFlow != null && channel.isWritable()) {
+            stateSince = owner.engine().now();
+            responseFlow.pause(false);
         }
     }
 
     @Override
     public void completed() {
-        passing = null;
-        end(LastHttpContent.EMPTY_LAST_CONTENT);
+        responseFlow = null;
+        finishResponse(LastHttpContent.EMPTY_LAST_CONTENT);
     }
 
     @Override
     public void aborted() {
-        passing = null;
+        responseFlow = null;
         enter(State.CLOSING);
-        channel.close(); // the length or the last chunk is missing, and so the client can tell
+        channel.close(); // the client detects the missing bytes or last chunk
     }
 
     @Override
@@ -522,10 +526,10 @@
 
     @Override
     public void failed() {
-        answer(HttpResponseStatus.BAD_GATEWAY);
+        respond(HttpResponseStatus.BAD_GATEWAY);
     }
 
-    private void answer(HttpResponseStatus status) {
+    private void respond(HttpResponseStatus status) {
         owner.counted(status.codeAsText().toString());
         write(empty(status));
     }
@@ -536,113 +540,113 @@
 
     private void write(FullHttpResponse response) {
         exchange = null;
-        concluded(response.status());
-        // What it does not read must not pile up here.
+        reportStatus(response.status());
+        // Responses that the client does not read must not accumulate.
         keepAlive &= !owner.closing() && channel.isWritable();
         HttpUtil.setContentLength(response, response.content().readableBytes());
         HttpUtil.setKeepAlive(response, keepAlive);
-        end(response);
+        finishResponse(response);
     }
 
-    private void concluded(HttpResponseStatus status) {
+    private void reportStatus(HttpResponseStatus status) {
         if (requestClass >= 0) {
             owner.answered(requestClass, status);
             requestClass = -1;
         }
     }
 
-    private void end(Object last) {
+    private void finishResponse(Object last) {
         enter(keepAlive ? State.IDLE : State.CLOSING);
         channel.writeAndFlush(last)
                 .addListener(
                         keepAlive
                                 ? ChannelFutureListener.CLOSE_ON_FAILURE
-                                : turnedAway ? PART : ChannelFutureListener.CLOSE);
-        owner.idle(this, turnedAway);
+                                : lastRejected ? HALF_CLOSE : ChannelFutureListener.CLOSE);
+        owner.idle(this, lastRejected);
     }
 
     // ---- limits
 
-    /** Ends what has been under way for too long; a taken request has its own limit. */
+    /** Enforces the time limits on the connection; the engine enforces that of a dispatched request. */
     void checkTime(long now) {
-        long age = now - since;
+        long elapsed = now - stateSince;
         switch (state) {
             case BUSY -> {
-                if (passing != null && !channel.isWritable() && age > STALLED_MICROS) {
-                    channel.close(); // it reads nothing of its answer
+                if (responseFlow != null && !channel.isWritable() && elapsed > STALL_TIMEOUT_MICROS) {
+                    channel.close(); // the client does not read its response
                 }
             }
             case READING -> {
-                boolean waits = body != null && body.waits;
-                long took = body == null ? age : now - bodySince - receivedTime();
-                if (took > WHOLE_MICROS && !waits) {
-                    turnAway(HttpResponseStatus.REQUEST_TIMEOUT, false);
+                boolean awaitsMemory = body != null && body.awaitsMemory;
+                long bodyElapsed = body == null ? elapsed : now - bodyStartedAt - receivedAllowanceMicros();
+                if (bodyElapsed > REQUEST_TIMEOUT_MICROS && !awaitsMemory) {
+                    reject(HttpResponseStatus.REQUEST_TIMEOUT, false);
                 }
             }
             case IDLE -> {
-                if (age > IDLE_MICROS) {
+                if (elapsed > IDLE_TIMEOUT_MICROS) {
                     closeIfFree();
                 }
             }
             default -> {
-                if (age > (wasLong && takes(now) ? STALLED_MICROS : WHOLE_MICROS)) {
-                    channel.close(); // silent from the start, or it reads nothing of its last answer
+                if (elapsed > (lastStreamed && hasPendingWrites(now) ? STALL_TIMEOUT_MICROS : REQUEST_TIMEOUT_MICROS)) {
+                    channel.close(); // nothing was ever received, or the client does not read its last response
                 }
             }
         }
     }
 
-    /** Whether something that was written is still in this process's hands; each bit that leaves starts the time anew. */
-    private boolean takes(long now) {
-        ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
-        long left = out == null ? 0 : out.totalPendingWriteBytes();
-        if (left != unsent) {
-            unsent = left;
-            since = now;
+    /** Whether written bytes are still buffered in this process. Any progress restarts the stall timeout. */
+    private boolean hasPendingWrites(long now) {
+        ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+        long pending = outbound == null ? 0 : outbound.totalPendingWriteBytes();
+        if (pending != lastPendingBytes) {
+            lastPendingBytes = pending;
+            stateSince = now;
         }
-        return left > 0;
+        return pending > 0;
     }
 
-    /** Whether it is being sent an answer too long to be kept. */
+    /** Whether a response too long to be buffered is being streamed to the client. */
     boolean passing() {
-        return passing != null;
+        return responseFlow != null;
     }
 
-    /** How many bytes of that its node has still to give; negative where that is not known. */
+    /** Bytes of the streamed response still to come from its node; negative where the length is unknown. */
     long rest() {
-        return rest;
+        return remainingBytes;
     }
 
     /**
-     * Lets the system hold so much for this client, and more than it would by itself, so that what it has not read yet
-     * outlives this process.
+     * Enlarges the socket's send buffer and flushes into it, so that the kernel can deliver what the client has not
+     * read yet after this process has ended.
      *
-     * @param bytes what to ask for; the system grants up to its own bound, and twice the number for its own records
+     * @param bytes the size to request; the system caps it at its own limit and doubles it for its bookkeeping
      */
     void sendBuffer(int bytes) {
         channel.config().setOption(ChannelOption.SO_SNDBUF, bytes);
         Transport.flush(channel);
     }
 
-    /** Whether it has earned less than others: it has said nothing whole so far, or was turned away last. */
+    /** Whether to close it before others: it is silent and has sent no whole request yet, or its last was rejected. */
     boolean dispensable(long now) {
-        boolean asked = state == State.IDLE && !turnedAway;
-        return state != State.BUSY && !asked && now - since > SILENT_MICROS;
+        boolean hasAnswered = state == State.IDLE && !lastRejected;
+        return state != State.BUSY && !hasAnswered && now - stateSince > SILENCE_MICROS;
     }
 
-    /** Whether nothing of a request has come on it, and it would not be missed. */
+    /** Whether it can be closed without loss: no part of a request has been received on it. */
     boolean vacant(long now) {
-        return state == State.IDLE || state == State.NEW && now - since > SILENT_MICROS;
+        return state == State.IDLE || state == State.NEW && now - stateSince > SILENCE_MICROS;
     }
 
-    /** Closes between requests, when what was answered before is written out. */
+    /** Closes the connection between requests, after pending responses are written; returns whether it was free. */
     boolean closeIfFree() {
         if (state == State.BUSY) {
             return false;
         }
         owner.counted(state + ">room");
         enter(State.CLOSING);
-        dropRequest();
+        discardRequest();
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         return true;
     }
@@ -651,9 +655,9 @@
         return state.name();
     }
 
-    /** Whether a request has just begun to come, or its body is coming, which must not be cut off to make room. */
+    /** Whether a request has just started or its body is being received; such a connection must not be evicted. */
     boolean reading(long now) {
-        return state == State.READING && (body != null || now - since <= SILENT_MICROS);
+        return state == State.READING && (body != null || now - stateSince <= SILENCE_MICROS);
     }
 
     boolean idle() {
--- a/src/main/java/anisebend/net/ProxyConfig.java
+++ b/src/main/java/anisebend/net/ProxyConfig.java
@@ -23,13 +23,14 @@
 import java.util.Set;
 
 /**
- * What the platform tells one proxy at its start. Strict: a proxy that starts on a guess would break rules
- * silently, so whatever is missing or malformed is an {@link IOException} with one plain line. Unknown
- * fields are skipped, as the platform may add some.
+ * The configuration of one proxy. Parsing is strict: a proxy that guessed a value would silently break rules, so any
+ * missing or malformed field throws an {@link IOException} with a one-line message. Unknown fields are ignored, as
+ * the platform may add some.
  *
- * @param admin the second address, null where there is none
+ * @param admin the operators' address, null if there is none
+ * @param known the node list that the proxy starts from
  * @param classes the numbers of the classes; the settings hold the rules of each number
- * @param text the file as it was read
+ * @param text the parsed file
  */
 record ProxyConfig(
         String name,
@@ -46,34 +47,34 @@
         long connectTimeoutMillis,
         Map<String, Object> text) {
 
-    /** The words that stand on the wire for the module's numbers. */
+    /** The names that the wire uses for the decision module's numbers. */
     record Names(List<String> tenants, List<String> zones, List<String> kinds) {}
 
-    /** Reads the file at {@code PROXY_CONFIG}; the single variables win over it, as they are the nearer. */
+    /** Reads the file at {@code PROXY_CONFIG}; environment variables override its fields. */
     static ProxyConfig load(Map<String, String> env) throws IOException {
         return load(env, env);
     }
 
-    /** Reads the file anew: it has been replaced since the variables were set, so it wins over them. */
+    /** Rereads the file. It is newer than the environment variables, so these no longer override it. */
     static ProxyConfig reload(Map<String, String> env) throws IOException {
         return load(env, Map.of());
     }
 
     /**
-     * This configuration as it follows another one in service: classes that are in both keep their numbers. Throws where
-     * it lacks a key that the other has, or changes what can't change without a restart.
+     * Returns this configuration as the successor of the one in service: classes in both keep their numbers. Throws if it
+     * lacks a key that the current one has, or changes what can't change without a restart.
      */
-    ProxyConfig after(ProxyConfig present) throws IOException {
-        ConfigurationShape.check(present.text, text, Set.of("known"));
-        if (!names.zones().equals(present.names.zones())
-                || !names.kinds().equals(present.names.kinds())
-                || settings.originKind() != present.settings.originKind()) {
+    ProxyConfig after(ProxyConfig current) throws IOException {
+        ConfigurationShape.check(current.text, text, Set.of("known"));
+        if (!names.zones().equals(current.names.zones())
+                || !names.kinds().equals(current.names.kinds())
+                || settings.originKind() != current.settings.originKind()) {
             throw new IOException("failure_domains, shapes and the origin can't change without a restart");
         }
-        Balancer.Settings s = settings;
-        ClassNumbering book;
+        Balancer.Settings updated = settings;
+        ClassNumbering numbering;
         try {
-            book = present.classes.with(List.copyOf(classes.names()), s.classes());
+            numbering = current.classes.with(List.copyOf(classes.names()), updated.classes());
         } catch (IllegalArgumentException e) {
             throw new IOException(e.getMessage(), e);
         }
@@ -86,25 +87,25 @@
                 sockets,
                 known,
                 new Balancer.Settings(
-                        s.balancers(),
-                        s.zone(),
-                        s.originKind(),
-                        book.rules(),
-                        s.tenants(),
-                        s.overShareFactor(),
-                        s.maxAttempts(),
-                        s.mayCancel(),
-                        s.mayProbe(),
-                        s.retryAfter(),
-                        s.maxRetryAfter(),
-                        s.listMustBeAsked(),
-                        s.listAskWithin(),
-                        s.coldShare(),
-                        s.coldTime(),
-                        s.freeResends(),
-                        s.resendShare(),
-                        s.resendSpan()),
-                book,
+                        updated.balancers(),
+                        updated.zone(),
+                        updated.originKind(),
+                        numbering.rules(),
+                        updated.tenants(),
+                        updated.overShareFactor(),
+                        updated.maxAttempts(),
+                        updated.mayCancel(),
+                        updated.mayProbe(),
+                        updated.retryAfter(),
+                        updated.maxRetryAfter(),
+                        updated.listMustBeAsked(),
+                        updated.listAskWithin(),
+                        updated.coldShare(),
+                        updated.coldTime(),
+                        updated.freeResends(),
+                        updated.resendShare(),
+                        updated.resendSpan()),
+                numbering,
                 names,
                 connIdleMillis,
                 connectTimeoutMillis,
@@ -117,20 +118,20 @@
             throw new IOException("PROXY_CONFIG is not set");
         }
         try (InputStream in = Files.newInputStream(Path.of(file))) {
-            return of(variables, parse(in.readAllBytes()));
+            return fromFields(variables, parse(in.readAllBytes()));
         } catch (NoSuchFileException | InvalidPathException e) {
-            throw new IOException("no configuration at " + file, e);
+            throw new IOException("configuration file not found: " + file, e);
         } catch (IOException | IllegalArgumentException e) {
             throw new IOException("configuration " + file + ": " + e.getMessage(), e);
         }
     }
 
-    private static ProxyConfig of(Map<String, String> env, Map<String, Object> root) throws IOException {
+    private static ProxyConfig fromFields(Map<String, String> env, Map<String, Object> root) throws IOException {
         Map<String, Object> settings = map(root, "settings");
         Map<String, Object> allowed = map(settings, "allowed");
         Map<String, Object> limits = map(root, "limits");
         Balancer.Settings read = WireSettings.settings(settings);
-        positive(allowed, "send_cap");
+        positiveNumber(allowed, "send_cap");
         for (Object lane : list(settings, "lanes")) {
             if (number(asMap(lane, "lanes"), "hard_limit_ms") <= 0 || number(asMap(lane, "lanes"), "aim_ms") <= 0) {
                 throw new IOException("hard_limit_ms and aim_ms must be positive");
@@ -139,25 +140,25 @@
         Names names =
                 new Names(names(settings, "realms"), names(settings, "failure_domains"), names(settings, "shapes"));
         return new ProxyConfig(
-                variable(env, "PROXY_NAME", root, "name"),
-                address(variable(env, "PROXY_LISTEN", root, "listen")),
+                variableOrField(env, "PROXY_NAME", root, "name"),
+                address(variableOrField(env, "PROXY_LISTEN", root, "listen")),
                 admin(env, root),
-                address(variable(env, "PROXY_DISCOVERY", root, "discovery")),
+                address(variableOrField(env, "PROXY_DISCOVERY", root, "discovery")),
                 seed(string(root, "seed")),
-                (int) positive(limits, "sockets"),
+                (int) positiveNumber(limits, "sockets"),
                 map(root, "known"),
                 read,
                 ClassNumbering.of(names(settings, "lanes"), read.classes()),
                 names,
-                positive(allowed, "conn_idle_ms"),
-                positive(allowed, "connect_timeout_ms"),
+                positiveNumber(allowed, "conn_idle_ms"),
+                positiveNumber(allowed, "connect_timeout_ms"),
                 root);
     }
 
     /**
-     * Whether the service only begins: no cache node has started since the list that this proxy last had was begun, so
-     * this is no restart within service, and nobody waits for it. One that is restarted before any node has changed is
-     * taken for that too, and is back a second later.
+     * Whether the whole service is starting: no cache node has started since the known node list was created. Then this
+     * is no restart of a proxy in service, and no clients wait for it. A proxy that restarts before any node has changed
+     * is misjudged as such a start, and is back a second later.
      */
     boolean begins() {
         return known.get("hosts") instanceof List<?> hosts
@@ -167,11 +168,11 @@
                                 && born.longValue() == 0);
     }
 
-    /** One whole JSON object, and nothing after it. */
+    /** Parses text that consists of exactly one JSON object. */
     static Map<String, Object> parse(byte[] text) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(new String(text, StandardCharsets.UTF_8))) {
             if (in.nextToken() == null) {
-                throw new IOException("empty where a JSON object should be");
+                throw new IOException("expected a JSON object, found nothing");
             }
             Map<String, Object> object = WireEvent.object(in);
             if (in.nextToken() != null) {
@@ -186,18 +187,21 @@
         }
     }
 
-    /** An address in numbers: there is no DNS, and a look-up would block. */
+    /** Parses a numeric address and port: there is no DNS, and a lookup would block. */
     static InetSocketAddress address(String text) throws IOException {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
-            throw new IOException("not an address and port: " + text);
+            throw new IOException("not a numeric address and port: " + text);
         }
         return address;
     }
 
     private static InetSocketAddress admin(Map<String, String> env, Map<String, Object> root) throws IOException {
-        boolean told = env.get("PROXY_ADMIN") != null && !env.get("PROXY_ADMIN").isEmpty();
-        return told || root.get("admin") != null ? address(variable(env, "PROXY_ADMIN", root, "admin")) : null;
+        boolean configured =
+                env.get("PROXY_ADMIN") != null && !env.get("PROXY_ADMIN").isEmpty();
+        return configured || root.get("admin") != null
+                ? address(variableOrField(env, "PROXY_ADMIN", root, "admin"))
+                : null;
     }
 
     private static long seed(String hex) throws IOException {
@@ -208,8 +212,8 @@
         }
     }
 
-    private static String variable(Map<String, String> env, String variable, Map<String, Object> root, String field)
-            throws IOException {
+    private static String variableOrField(
+            Map<String, String> env, String variable, Map<String, Object> root, String field) throws IOException {
         String value = env.get(variable);
         return value == null || value.isEmpty() ? string(root, field) : value;
     }
@@ -218,7 +222,7 @@
         if (from.get(field) instanceof String text && !text.isEmpty()) {
             return text;
         }
-        throw new IOException(field + " must be a text");
+        throw new IOException(field + " must be a string");
     }
 
     static double number(Map<String, Object> from, String field) throws IOException {
@@ -228,7 +232,7 @@
         throw new IOException(field + " must be a number");
     }
 
-    private static long positive(Map<String, Object> from, String field) throws IOException {
+    private static long positiveNumber(Map<String, Object> from, String field) throws IOException {
         double value = number(from, field);
         if (value < 1) {
             throw new IOException(field + " must be positive");
@@ -249,14 +253,14 @@
 
     static Map<String, Object> asMap(Object value, String field) throws IOException {
         if (value instanceof Map<?, ?> map) {
-            @SuppressWarnings("unchecked") // every map that WireEvent.object makes has texts as keys
+            @SuppressWarnings("unchecked") // every map that WireEvent.object creates has string keys
             Map<String, Object> object = (Map<String, Object>) map;
             return object;
         }
         throw new IOException(field + " must be an object");
     }
 
-    /** The names in a list of texts, or of objects that have a name. A site may have none. */
+    /** Returns the names in a list of strings, or of objects with a name; empty if the field is missing. */
     private static List<String> names(Map<String, Object> settings, String field) throws IOException {
         List<String> names = new ArrayList<>();
         if (settings.get(field) == null) {
--- a/src/main/java/anisebend/net/RequestHead.java
+++ b/src/main/java/anisebend/net/RequestHead.java
@@ -10,26 +10,26 @@
 import java.util.List;
 
 /**
- * Strict reading of a request's head. It is judged before anything is kept for it, so that bad requests are
- * cheap; whatever could be read in two ways is refused, as the other side might read it in the other.
+ * A strictly parsed and validated request head. Validation precedes any buffering, so that bad requests are cheap.
+ * Ambiguous heads are rejected, as the next hop might interpret them differently (request smuggling).
  */
 final class RequestHead {
     static final int MAX_BODY = 32 << 20;
-    /** Up to here a body is kept without asking for room. */
+    /** Up to this length a body is buffered without a memory reservation. */
     static final int SHORT_BODY = 64 << 10;
 
     static final String READY = "/health/ready";
-    private static final String API = "/api/";
-    private static final int MAX_ID = 256;
-    private static final int MAX_NUMBER = 12;
-    /** A wait past the class's deadline by more than this part only holds memory. */
-    private static final long OVER_PART = 8;
+    private static final String API_PREFIX = "/api/";
+    private static final int MAX_ID_LENGTH = 256;
+    private static final int MAX_NUMBER_LENGTH = 12;
+    /** A wait is capped at the class's deadline plus this fraction of it; waiting longer only holds memory. */
+    private static final long DEADLINE_SLACK_DIVISOR = 8;
 
-    private static final double MICROS = 1e6;
+    private static final double MICROS_PER_SECOND = 1e6;
 
-    /** What is wrong with it, null for nothing. */
+    /** The error status to answer with, null for a valid request. */
     final HttpResponseStatus problem;
-    /** Whether it is plain where the message ends, so that another may follow. */
+    /** Whether the request has no body, so that the next one may follow directly. */
     final boolean framed;
 
     String id;
@@ -38,47 +38,48 @@
     int requestClass;
     int tenant;
     long waitMicros;
-    /** How long its body is, -1 where only its end will tell. */
+    /** The length of the body, -1 for a chunked one. */
     long length;
-    /** Whether the client says that it has asked before. */
+    /** Whether the client marks this request as a retry. */
     boolean repeat;
 
-    /** Reads a head that asks for the API or readiness. */
+    /** Parses the head of a request to the API or the readiness probe. */
     RequestHead(HttpRequest request, ProxyConfig config) {
         HttpHeaders headers = request.headers();
-        HttpResponseStatus framing = framing(request, headers);
-        framed = framing == null
+        HttpResponseStatus framingError = checkFraming(request, headers);
+        framed = framingError == null
                 && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)
                 && !headers.contains(HttpHeaderNames.TRANSFER_ENCODING);
-        problem = framing != null ? framing : meaning(request, headers, config);
+        problem = framingError != null ? framingError : parseFields(request, headers, config);
     }
 
-    /** Nothing but one plain length, or plain chunks, may say where the message ends. */
-    private static HttpResponseStatus framing(HttpRequest request, HttpHeaders headers) {
+    /** Checks the framing: at most one decimal Content-Length, or a plain chunked Transfer-Encoding. */
+    private static HttpResponseStatus checkFraming(HttpRequest request, HttpHeaders headers) {
         if (request.decoderResult().isFailure()
                 || !HttpVersion.HTTP_1_1.equals(request.protocolVersion())
                         && !HttpVersion.HTTP_1_0.equals(request.protocolVersion())) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
-        List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
-        if (lengths.size() + codings.size() > 1
-                || codings.size() == 1 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0))) {
+        List<String> contentLengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
+        List<String> transferCodings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
+        if (contentLengths.size() + transferCodings.size() > 1
+                || transferCodings.size() == 1
+                        && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(transferCodings.get(0))) {
             return HttpResponseStatus.BAD_REQUEST;
         }
-        if (lengths.size() == 1) {
-            String length = lengths.get(0);
-            if (length.isEmpty() || !digits(length, 0, length.length())) {
+        if (contentLengths.size() == 1) {
+            String length = contentLengths.get(0);
+            if (length.isEmpty() || !isDigits(length, 0, length.length())) {
                 return HttpResponseStatus.BAD_REQUEST;
             }
-            if (length.length() > MAX_NUMBER || Long.parseLong(length) > MAX_BODY) {
+            if (length.length() > MAX_NUMBER_LENGTH || Long.parseLong(length) > MAX_BODY) {
                 return HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE;
             }
         }
         return null;
     }
 
-    private HttpResponseStatus meaning(HttpRequest request, HttpHeaders headers, ProxyConfig config) {
+    private HttpResponseStatus parseFields(HttpRequest request, HttpHeaders headers, ProxyConfig config) {
         String uri = request.uri();
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
@@ -86,22 +87,24 @@
         if (path.equals(READY)) {
             return method.equals(HttpMethod.GET) ? null : HttpResponseStatus.METHOD_NOT_ALLOWED;
         }
-        if (!path.startsWith(API)) {
+        if (!path.startsWith(API_PREFIX)) {
             return HttpResponseStatus.NOT_FOUND;
         }
         boolean read = method.equals(HttpMethod.GET);
         if (!read && !method.equals(HttpMethod.PUT)) {
             return HttpResponseStatus.METHOD_NOT_ALLOWED;
         }
-        id = single(headers, "X-Correlation-Id");
-        idempotencyKey = single(headers, "Idempotency-Key");
-        requestClass = config.classes().number(single(headers, "X-Service-Class"));
-        tenant = config.names().tenants().isEmpty() ? 0 : index(config.names().tenants(), single(headers, "X-Account"));
-        waitMicros = micros(single(headers, "X-Time-Left"));
-        // A body of a read would have to be passed on, and has no meaning.
+        id = singleValue(headers, "X-Correlation-Id");
+        idempotencyKey = singleValue(headers, "Idempotency-Key");
+        requestClass = config.classes().number(singleValue(headers, "X-Service-Class"));
+        tenant = config.names().tenants().isEmpty()
+                ? 0
+                : index(config.names().tenants(), singleValue(headers, "X-Account"));
+        waitMicros = micros(singleValue(headers, "X-Time-Left"));
+        // The body of a read has no meaning and would have to be forwarded.
         if (id == null
                 || id.isEmpty()
-                || id.length() > MAX_ID
+                || id.length() > MAX_ID_LENGTH
                 || requestClass < 0
                 || tenant < 0
                 || waitMicros <= 0
@@ -110,39 +113,41 @@
             return HttpResponseStatus.BAD_REQUEST;
         }
         long deadline = config.settings().classes().get(requestClass).deadline();
-        waitMicros = Math.min(waitMicros, deadline + deadline / OVER_PART);
-        String told = headers.get(HttpHeaderNames.CONTENT_LENGTH);
-        length = told != null ? Long.parseLong(told) : headers.contains(HttpHeaderNames.TRANSFER_ENCODING) ? -1 : 0;
+        waitMicros = Math.min(waitMicros, deadline + deadline / DEADLINE_SLACK_DIVISOR);
+        String contentLength = headers.get(HttpHeaderNames.CONTENT_LENGTH);
+        length = contentLength != null
+                ? Long.parseLong(contentLength)
+                : headers.contains(HttpHeaderNames.TRANSFER_ENCODING) ? -1 : 0;
         repeat = "1".equals(headers.get("X-Repeat"));
         key = path.substring(path.lastIndexOf('/') + 1);
         return null;
     }
 
-    /** A header's value; null where it is missing or given twice. */
-    private static String single(HttpHeaders headers, String name) {
+    /** The value of a header; null if it is missing or repeated. */
+    private static String singleValue(HttpHeaders headers, String name) {
         List<String> values = headers.getAll(name);
         return values.size() == 1 ? values.get(0) : null;
     }
 
-    /** Where a word stands, -1 also for none: immutable lists throw when asked for null. */
-    private static int index(List<String> names, String word) {
-        return word == null ? -1 : names.indexOf(word);
+    /** The index of a value, -1 if it is null or absent: immutable lists throw on {@code indexOf(null)}. */
+    private static int index(List<String> names, String value) {
+        return value == null ? -1 : names.indexOf(value);
     }
 
-    /** Seconds in plain decimals as microseconds; 0 for what is no such number. */
+    /** Converts plain decimal seconds to microseconds; 0 for anything else. */
     private static long micros(String seconds) {
-        if (seconds == null || seconds.isEmpty() || seconds.length() > MAX_NUMBER) {
+        if (seconds == null || seconds.isEmpty() || seconds.length() > MAX_NUMBER_LENGTH) {
             return 0;
         }
         int point = seconds.indexOf('.');
-        int whole = point < 0 ? seconds.length() : point;
-        boolean plain = whole > 0
-                && digits(seconds, 0, whole)
-                && (point < 0 || point + 1 < seconds.length() && digits(seconds, point + 1, seconds.length()));
-        return plain ? Math.round(Double.parseDouble(seconds) * MICROS) : 0;
+        int integerEnd = point < 0 ? seconds.length() : point;
+        boolean valid = integerEnd > 0
+                && isDigits(seconds, 0, integerEnd)
+                && (point < 0 || point + 1 < seconds.length() && isDigits(seconds, point + 1, seconds.length()));
+        return valid ? Math.round(Double.parseDouble(seconds) * MICROS_PER_SECOND) : 0;
     }
 
-    private static boolean digits(String text, int from, int to) {
+    private static boolean isDigits(String text, int from, int to) {
         for (int i = from; i < to; i++) {
             if (text.charAt(i) < '0' || text.charAt(i) > '9') {
                 return false;
--- a/src/main/java/anisebend/net/Seconds.java
+++ b/src/main/java/anisebend/net/Seconds.java
@@ -1,17 +1,18 @@
 package anisebend.net;
 
-/** Times in headers: seconds with three decimals, as the protocol has them. */
+/** Formats durations for headers: seconds with three decimals. */
 final class Seconds {
-    private static final long MICROS_IN_MILLI = 1_000;
-    private static final int MILLIS = 1_000;
-    private static final int DIGITS = 3;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
+    private static final int DECIMALS = 3;
 
     private Seconds() {}
 
-    /** Rounded up to a whole millisecond, so that what is left or to be waited for is never 0. */
+    /** Formats a duration, rounded up to a whole millisecond, so that a remaining time or retry delay is never 0. */
     static String of(long micros) {
-        long millis = Math.max(1, (micros + MICROS_IN_MILLI - 1) / MICROS_IN_MILLI);
-        String decimals = Long.toString(MILLIS + millis % MILLIS); // with a digit ahead that keeps the zeros
-        return millis / MILLIS + "." + decimals.substring(decimals.length() - DIGITS);
+        long millis = Math.max(1, (micros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
+        String paddedMillis =
+                Long.toString(MILLIS_PER_SECOND + millis % MILLIS_PER_SECOND); // the leading 1 preserves zeros
+        return millis / MILLIS_PER_SECOND + "." + paddedMillis.substring(paddedMillis.length() - DECIMALS);
     }
 }
--- a/src/main/java/anisebend/net/Warmup.java
+++ b/src/main/java/anisebend/net/Warmup.java
@@ -34,30 +34,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets the JVM load and compile what serving needs before the proxy says that it is ready: cold code takes some
- * milliseconds a request, and all requests of the first seconds would wait for it. The proxy asks itself, through
- * its own port, and plays the cache node and discovery too; engine and module are others than those that serve
- * clients, so these learn nothing from it and nothing leaves the process.
+ * Makes the JVM load and compile the serving code before the proxy reports readiness: cold code takes some
+ * milliseconds per request, which would delay all requests of the first seconds. The proxy sends requests to its own
+ * port and also emulates the cache node and the discovery service. The warm-up has its own engine and decision module,
+ * so it does not affect those that serve clients, and no traffic leaves the process.
  */
 final class Warmup implements ClientConnection.Owner {
     /**
-     * After so many a request costs a tenth of what the first ones did; that takes some 0.5 s of half a core where the
-     * JVM compiles early ({@code CompileThresholdScaling} in deploy/balancer.toml). A restarted proxy's clients wait for
-     * this, or crowd at another that may be about to stop too; on a slow day the first 40 to 150 must do for it.
+     * Number of requests when clients are waiting. After this many, a request costs a tenth of the first ones. They take
+     * about 0.5 s of half a core if the JVM compiles early ({@code CompileThresholdScaling} in deploy/balancer.toml).
+     * The clients of a restarted proxy wait for this, or overload another proxy that may be about to stop too. On a slow
+     * machine the time limit ends the warm-up after the first 40 to 150.
      */
-    private static final int REQUESTS = 256;
+    private static final int HURRIED_REQUESTS = 256;
 
-    private static final long LIMIT_MILLIS = 1_200;
-    /** Where nobody waits, as the service begins or a predecessor has the clients: then cold code would cost them. */
+    private static final long HURRIED_LIMIT_MILLIS = 1_200;
+    /** Number of requests when no clients wait, because the service is starting or a predecessor still serves them. */
     private static final int UNHURRIED_REQUESTS = 640;
 
-    private static final long UNHURRIED_MILLIS = 2_600;
+    private static final long UNHURRIED_LIMIT_MILLIS = 2_600;
     private static final int CLIENTS = 6;
     private static final int KEYS = 64;
     private static final int BODY_BYTES = 700;
-    private static final int WRITES_EVERY = 8;
-    private static final String TOKEN = "X-Warm-Up";
-    private static final String NODE = "self";
+    private static final int WRITE_INTERVAL = 8;
+    private static final String TOKEN_HEADER = "X-Warm-Up";
+    private static final String NODE_NAME = "self";
 
     private final int requests;
     private final long limitMillis;
@@ -65,55 +66,55 @@
     private final InetSocketAddress self;
     private final ProxyConfig config;
     private final Engine engine;
-    private final Runnable done;
-    /** Drawn from the start's own seed and so known to nobody else: no client can be taken for the warm-up. */
+    private final Runnable onFinished;
+    /** Marks the warm-up's requests. It derives from the seed of this start, so no client can know it. */
     private final String token;
 
     private final BodyBudget<ClientConnection.Body> bodies = new BodyBudget<>(0);
     private final List<Channel> channels = new ArrayList<>();
-    private int sent;
-    private int answered;
-    private boolean over;
+    private int sentRequests;
+    private int responses;
+    private boolean finished;
 
-    /** Warms up at {@code self}, in haste where clients wait for that. */
-    Warmup(EventLoop loop, ProxyConfig real, InetSocketAddress self, boolean hurried, Runnable done) {
-        this.requests = hurried ? REQUESTS : UNHURRIED_REQUESTS;
-        this.limitMillis = hurried ? LIMIT_MILLIS : UNHURRIED_MILLIS;
+    /** Creates a warm-up against {@code self}, a shorter one if {@code hurried} because clients are waiting. */
+    Warmup(EventLoop loop, ProxyConfig realConfig, InetSocketAddress self, boolean hurried, Runnable onFinished) {
+        this.requests = hurried ? HURRIED_REQUESTS : UNHURRIED_REQUESTS;
+        this.limitMillis = hurried ? HURRIED_LIMIT_MILLIS : UNHURRIED_LIMIT_MILLIS;
         this.loop = loop;
         this.self = self;
-        this.done = done;
-        this.token = "warm-" + Long.toHexString(new SplittableRandom(real.seed()).nextLong());
-        Map<String, Object> list = Map.of(
+        this.onFinished = onFinished;
+        this.token = "warm-" + Long.toHexString(new SplittableRandom(realConfig.seed()).nextLong());
+        Map<String, Object> nodeList = Map.of(
                 "seq",
                 0.0,
                 "whole",
                 true,
                 "hosts",
-                List.of(Map.of("host", NODE, "dial", NetUtil.toSocketAddressString(self), "health", "Ready")));
+                List.of(Map.of("host", NODE_NAME, "dial", NetUtil.toSocketAddressString(self), "health", "Ready")));
         this.config = new ProxyConfig(
-                real.name(),
-                real.listen(),
+                realConfig.name(),
+                realConfig.listen(),
                 null,
                 self,
-                real.seed(),
-                real.sockets(),
-                list,
-                real.settings(),
-                real.classes(),
-                real.names(),
-                real.connIdleMillis(),
-                real.connectTimeoutMillis(),
+                realConfig.seed(),
+                realConfig.sockets(),
+                nodeList,
+                realConfig.settings(),
+                realConfig.classes(),
+                realConfig.names(),
+                realConfig.connIdleMillis(),
+                realConfig.connectTimeoutMillis(),
                 Map.of());
         this.engine = new Engine(loop, config, CLIENTS, text -> {});
     }
 
-    /** Begins; {@code done} runs when enough has been asked or it has taken too long. */
+    /** Starts; {@code onFinished} runs after enough responses or at the time limit. */
     void start() {
         loop.schedule(this::finish, limitMillis, TimeUnit.MILLISECONDS);
         try {
             engine.begin(config);
         } catch (IOException | RuntimeException e) {
-            finish(); // the proxy is only slower at first
+            finish(); // without a warm-up the proxy is only slower at first
             return;
         }
         for (int i = 0; i < CLIENTS; i++) {
@@ -127,7 +128,7 @@
                                             new HttpRequestEncoder(),
                                             new StrictHttp.Responses(),
                                             new HttpObjectAggregator(Upstream.MAX_BUFFERED_BYTES),
-                                            new Asking());
+                                            new SelfClient());
                         }
                     })
                     .connect(self);
@@ -135,18 +136,18 @@
     }
 
     private void finish() {
-        if (!over) {
-            over = true;
-            System.err.println("warm after " + answered + " requests");
+        if (!finished) {
+            finished = true;
+            System.err.println("warm-up finished after " + responses + " requests");
             engine.stop();
             channels.forEach(Channel::close);
-            done.run();
+            onFinished.run();
         }
     }
 
-    private FullHttpRequest next() {
-        int number = sent++;
-        boolean write = number % WRITES_EVERY == 0;
+    private FullHttpRequest nextRequest() {
+        int number = sentRequests++;
+        boolean write = number % WRITE_INTERVAL == 0;
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 write ? HttpMethod.PUT : HttpMethod.GET,
@@ -156,7 +157,7 @@
         List<String> tenants = config.names().tenants();
         request.headers()
                 .set(HttpHeaderNames.HOST, "warm-up")
-                .set(TOKEN, token)
+                .set(TOKEN_HEADER, token)
                 .set("X-Correlation-Id", token + number)
                 .set("X-Service-Class", classes.get(number % classes.size()))
                 .set("X-Time-Left", "1.000");
@@ -169,19 +170,19 @@
         return request;
     }
 
-    /** A client of the warm-up. */
-    private final class Asking extends SimpleChannelInboundHandler<FullHttpResponse> {
+    /** A warm-up client, which sends the next request after each response. */
+    private final class SelfClient extends SimpleChannelInboundHandler<FullHttpResponse> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            ctx.writeAndFlush(next());
+            ctx.writeAndFlush(nextRequest());
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (++answered >= requests) {
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (++responses >= requests) {
                 finish();
-            } else if (!over) {
-                ctx.writeAndFlush(next());
+            } else if (!finished) {
+                ctx.writeAndFlush(nextRequest());
             }
         }
 
@@ -192,18 +193,18 @@
     }
 
     /**
-     * Stands before the handler of a connection that comes in during the warm-up, and finds out whose it is: the
-     * warm-up's client's, its attempt at the node that it plays, its call for the list, or a real client's. Where no
-     * real client is to come, such a one is closed.
+     * Classifies a connection accepted during the warm-up by its first request: from a warm-up client, the warm-up
+     * engine's request to the emulated node or for the discovery list, or from a real client. A real client's connection
+     * goes on to its handler; it is closed where none is expected.
      */
     final class Gate extends ChannelInboundHandlerAdapter {
         private final StrictHttp.Requests decoder;
-        private final ClientConnection real;
-        private FullHttpResponse answer;
+        private final ClientConnection realHandler;
+        private FullHttpResponse response;
 
-        Gate(StrictHttp.Requests decoder, ClientConnection real) {
+        Gate(StrictHttp.Requests decoder, ClientConnection realHandler) {
             this.decoder = decoder;
-            this.real = real;
+            this.realHandler = realHandler;
         }
 
         @Override
@@ -211,49 +212,49 @@
             String id =
                     message instanceof HttpRequest request ? request.headers().get("X-Correlation-Id") : null;
             if (message instanceof HttpRequest request
-                    && token.equals(request.headers().get(TOKEN))) {
-                ClientConnection own = new ClientConnection(ctx.channel(), decoder, Warmup.this);
-                if (real == null) {
-                    ctx.pipeline().addLast(own);
+                    && token.equals(request.headers().get(TOKEN_HEADER))) {
+                ClientConnection warmupHandler = new ClientConnection(ctx.channel(), decoder, Warmup.this);
+                if (realHandler == null) {
+                    ctx.pipeline().addLast(warmupHandler);
                 } else {
-                    ctx.pipeline().replace(real, null, own);
+                    ctx.pipeline().replace(realHandler, null, warmupHandler);
                 }
                 ctx.pipeline().remove(this);
                 ctx.fireChannelRead(message);
             } else if (id != null && id.startsWith(token)) {
-                answer = answer(new byte[BODY_BYTES]);
+                response = okResponse(new byte[BODY_BYTES]);
             } else if (message instanceof HttpRequest request
-                    && !over
+                    && !finished
                     && request.uri().startsWith(Discovery.LIST)) {
-                answer = request.uri().contains("?")
+                response = request.uri().contains("?")
                         ? null
-                        : answer(("{\"seq\":0,\"whole\":true,\"hosts\":[{\"host\":\"" + NODE + "\",\"dial\":\""
+                        : okResponse(("{\"seq\":0,\"whole\":true,\"hosts\":[{\"host\":\"" + NODE_NAME + "\",\"dial\":\""
                                         + NetUtil.toSocketAddressString(self) + "\",\"health\":\"Ready\"}]}")
                                 .getBytes(StandardCharsets.UTF_8));
-            } else if (message instanceof HttpRequest && real == null) {
+            } else if (message instanceof HttpRequest && realHandler == null) {
                 ctx.close();
             } else if (message instanceof HttpRequest) {
                 ctx.pipeline().remove(this);
                 ctx.fireChannelRead(message);
                 return;
-            } else if (message instanceof LastHttpContent && answer != null) {
-                ctx.channel().writeAndFlush(answer);
-                answer = null;
+            } else if (message instanceof LastHttpContent && response != null) {
+                ctx.channel().writeAndFlush(response);
+                response = null;
             }
             if (ctx.pipeline().context(this) != null) {
                 ReferenceCountUtil.release(message);
             }
         }
 
-        private static FullHttpResponse answer(byte[] body) {
-            FullHttpResponse answer = new DefaultFullHttpResponse(
+        private static FullHttpResponse okResponse(byte[] body) {
+            FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(body));
-            answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length).set("X-Lookup", "hit");
-            return answer;
+            response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length).set("X-Lookup", "hit");
+            return response;
         }
     }
 
-    // ---- what the warm-up's own clients have in common
+    // ---- shared by the warm-up clients' connections
 
     @Override
     public ProxyConfig config() {
@@ -300,5 +301,5 @@
     public void asks(ClientConnection connection) {}
 
     @Override
-    public void idle(ClientConnection connection, boolean turnedAway) {}
+    public void idle(ClientConnection connection, boolean rejected) {}
 }
