--- a/src/test/java/anisebend/net/LongAnswerTest.java
+++ b/src/test/java/anisebend/net/LongAnswerTest.java
@@ -31,10 +31,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Answers that are too long to be kept: passed on as they come, and never more of them held than a little. */
+/** Responses too long to be buffered: streamed as they arrive, with only a small part in memory at any time. */
 class LongAnswerTest {
-    private static final double LONG = 60;
-    private static final int MEGA = 1 << 20;
+    private static final double LONG_WAIT_SECONDS = 60;
+    private static final int MEBIBYTE = 1 << 20;
 
     @TempDir
     Path folder;
@@ -64,14 +64,14 @@
         discovery.close();
     }
 
-    private static byte[] noise(int length) {
+    private static byte[] randomBytes(int length) {
         byte[] bytes = new byte[length];
         new Random(7).nextBytes(bytes);
         return bytes;
     }
 
     private static String get() {
-        return request("GET", "/api/k", "read", LONG, null);
+        return request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null);
     }
 
     private static String head(String framing) {
@@ -91,13 +91,13 @@
     private static String line(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
-            assertTrue(c >= 0, "cut within a line");
+            assertTrue(c >= 0, "connection ended within a line");
             line.write(c);
         }
         return line.toString(StandardCharsets.US_ASCII).trim();
     }
 
-    /** Reads an answer by whatever framing it has; the body ends early where the connection does. */
+    /** Reads a response with either framing; the body ends early if the connection does. */
     private static byte[] body(InputStream in) throws IOException {
         assertEquals("HTTP/1.1 200 OK", line(in));
         int length = -1;
@@ -120,8 +120,8 @@
 
     @ParameterizedTest
     @CsvSource({"65536,1000", "65537,1", "65537,65537", "300000,7000", "6000000,100000"})
-    void passesAnyFramingUnchangedAndKeepsBothConnections(int length, int chunk) throws Exception {
-        byte[] sent = noise(length);
+    void streamsAnyFramingUnchangedAndKeepsBothConnections(int length, int chunk) throws Exception {
+        byte[] sent = randomBytes(length);
         script = (request, socket) -> {
             if (request.first().contains("chunked")) {
                 write(socket, head("Transfer-Encoding: chunked"));
@@ -136,7 +136,7 @@
             for (int i = 0; i < 3; i++) {
                 write(client.socket, get());
                 assertArrayEquals(sent, body(in));
-                write(client.socket, request("GET", "/api/chunked", "read", LONG, null));
+                write(client.socket, request("GET", "/api/chunked", "read", LONG_WAIT_SECONDS, null));
                 assertArrayEquals(sent, body(in));
             }
         }
@@ -144,14 +144,14 @@
         assertEquals(6, node.requests.size());
     }
 
-    /** Ten answers that nobody reads, each far longer than what all may hold; their nodes must be made to wait. */
+    /** Ten unread responses, each far longer than all buffers together: backpressure must stop their nodes. */
     @Test
-    void holdsTheNodeBackWhileItsClientDoesNotRead() throws Exception {
-        int length = 24 * MEGA;
+    void appliesBackpressureToTheNodeWhileTheClientDoesNotRead() throws Exception {
+        int length = 24 * MEBIBYTE;
         AtomicLong written = new AtomicLong();
         script = (request, socket) -> {
             write(socket, head("Content-Length: " + length));
-            byte[] part = new byte[MEGA / 16];
+            byte[] part = new byte[MEBIBYTE / 16];
             for (int at = 0; at < length; at += part.length) {
                 socket.getOutputStream().write(part);
                 written.addAndGet(part.length);
@@ -164,59 +164,59 @@
             write(clients[i].socket, get().replace("/api/k", "/api/" + i));
             assertEquals('H', clients[i].socket.getInputStream().read());
         }
-        // Somebody else's whole answer shows that the loop has turned often since.
+        // Complete responses to other clients show that the event loop has run many iterations since.
         for (int i = 0; i < 200; i++) {
             try (Client probe = new Client(proxy.address().getPort())) {
                 probe.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             }
         }
-        assertTrue(written.get() < 10L * length * 3 / 4, "all of it was taken in: " + written);
+        assertTrue(written.get() < 10L * length * 3 / 4, "the proxy read ahead of its clients: " + written);
         for (Client client : clients) {
             client.socket.getInputStream().skipNBytes(length);
             client.close();
         }
-        assertEquals(10L * length, written.get(), "and none of it is lost");
+        assertEquals(10L * length, written.get(), "bytes written by the nodes");
     }
 
-    /** The client can tell, and nothing is asked again: it has had the first half of this very answer. */
+    /** The client detects the truncation, and there is no retry, as it already received half of this response. */
     @Test
-    void showsACutAndDoesNotAskAgain() throws Exception {
+    void truncatesWithoutRetryAfterPartOfTheBody() throws Exception {
         script = (request, socket) -> {
-            write(socket, head("Content-Length: " + MEGA));
-            socket.getOutputStream().write(new byte[MEGA / 2]);
+            write(socket, head("Content-Length: " + MEBIBYTE));
+            socket.getOutputStream().write(new byte[MEBIBYTE / 2]);
             socket.close();
         };
         try (Client client = new Client(proxy.address().getPort())) {
             write(client.socket, get());
-            byte[] had = body(client.socket.getInputStream());
-            assertTrue(had.length < MEGA, "cut");
+            byte[] received = body(client.socket.getInputStream());
+            assertTrue(received.length < MEBIBYTE, "cut");
         }
         assertEquals(1, node.requests.size());
     }
 
-    /** Its head alone is no beginning that a client could see: it is asked for again, and nothing is cut. */
+    /** After the head alone nothing was sent to the client yet, so the request is retried and the response is whole. */
     @Test
-    void asksAgainWhereNothingButTheHeadHasCome() throws Exception {
+    void retriesWhenOnlyTheHeadHasArrived() throws Exception {
         CountDownLatch once = new CountDownLatch(1);
         script = (request, socket) -> {
-            write(socket, head("Content-Length: " + MEGA));
+            write(socket, head("Content-Length: " + MEBIBYTE));
             if (once.getCount() == 1) {
                 once.countDown();
                 socket.close();
             } else {
-                socket.getOutputStream().write(new byte[MEGA]);
+                socket.getOutputStream().write(new byte[MEBIBYTE]);
             }
         };
         try (Client client = new Client(proxy.address().getPort())) {
             write(client.socket, get());
-            assertEquals(MEGA, body(client.socket.getInputStream()).length);
+            assertEquals(MEBIBYTE, body(client.socket.getInputStream()).length);
         }
         assertEquals(2, node.requests.size());
     }
 
-    /** Within what is kept a cut answer is asked for again, as ever. */
+    /** A truncated response that is short enough to be buffered is retried. */
     @Test
-    void asksAgainForACutAnswerThatWasKept() throws Exception {
+    void retriesATruncatedBufferedResponse() throws Exception {
         CountDownLatch once = new CountDownLatch(1);
         script = (request, socket) -> {
             if (once.getCount() == 1) {
@@ -233,12 +233,12 @@
     }
 
     @Test
-    void endsTheNodesConnectionWhenTheClientLeaves() throws Exception {
+    void closesTheNodesConnectionWhenTheClientDisconnects() throws Exception {
         script = (request, socket) -> {
-            write(socket, head("Content-Length: " + 32 * MEGA));
-            byte[] part = new byte[MEGA];
+            write(socket, head("Content-Length: " + 32 * MEBIBYTE));
+            byte[] part = new byte[MEBIBYTE];
             while (true) {
-                socket.getOutputStream().write(part); // until it breaks
+                socket.getOutputStream().write(part); // until the proxy disconnects
             }
         };
         try (Client client = new Client(proxy.address().getPort())) {
@@ -249,15 +249,15 @@
         assertNotNull(node.ended.poll(PATIENCE_SECONDS, TimeUnit.SECONDS));
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
         while (!proxy.idle()) {
-            assertTrue(System.nanoTime() < end, "something is kept of it");
+            assertTrue(System.nanoTime() < end, "the proxy still holds the request");
         }
     }
 
     @Test
-    void turnsAwayWhatIsLongerThanAnyAnswer() throws Exception {
+    void rejectsAResponseAboveTheSizeLimit() throws Exception {
         script = (request, socket) -> write(socket, head("Content-Length: " + 3_000_000_000L) + "x");
         try (Client client = new Client(proxy.address().getPort())) {
-            write(client.socket, request("PUT", "/api/k", "once", LONG, "x"));
+            write(client.socket, request("PUT", "/api/k", "once", LONG_WAIT_SECONDS, "x"));
             assertTrue(client.answer().first().contains("502"));
         }
         assertEquals(1, node.requests.size());
--- a/src/test/java/anisebend/net/LongBodyTest.java
+++ b/src/test/java/anisebend/net/LongBodyTest.java
@@ -33,10 +33,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Bodies that are longer than what is kept without asking, and more of them than there is room for. */
+/** Request bodies that need a memory reservation, also more of them than the budget can hold at once. */
 class LongBodyTest {
-    private static final double LONG = 60;
-    private static final int ROOM = 1 << 20;
+    private static final double LONG_WAIT_SECONDS = 60;
+    private static final int BUDGET_BYTES = 1 << 20;
 
     @TempDir
     Path folder;
@@ -56,7 +56,7 @@
                         200,
                         60_000,
                         list(1, true, entry("s-1", node.address(), "Ready", 0))))
-                .bodies(ROOM)
+                .bodies(BUDGET_BYTES)
                 .start();
     }
 
@@ -78,8 +78,8 @@
     }
 
     private static String chunked(String type, String body, int size) {
-        StringBuilder text = new StringBuilder(
-                request("PUT", "/api/k", type, LONG, "").replace("Content-Length: 0", "Transfer-Encoding: chunked"));
+        StringBuilder text = new StringBuilder(request("PUT", "/api/k", type, LONG_WAIT_SECONDS, "")
+                .replace("Content-Length: 0", "Transfer-Encoding: chunked"));
         for (int at = 0; at < body.length(); at += size) {
             String part = body.substring(at, Math.min(body.length(), at + size));
             text.append(Integer.toHexString(part.length()))
@@ -93,7 +93,7 @@
     private void awaitIdle() throws Exception {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
         while (!proxy.idle()) {
-            assertTrue(System.nanoTime() < end, "something is kept");
+            assertTrue(System.nanoTime() < end, "the proxy still holds a request or its body");
         }
     }
 
@@ -107,24 +107,25 @@
         "700000, once",
         "1048576, keyed"
     })
-    void passesBodiesUnchangedInAnyFraming(int length, String type) throws Exception {
+    void forwardsBodiesUnchangedInAnyFraming(int length, String type) throws Exception {
         String body = text(length);
         script = (request, socket) ->
                 write(socket, answer(200, "", request.body().equals(body) ? "same" : "other"));
         try (Client client = client()) {
             assertEquals(
                     "same",
-                    client.ask(request("PUT", "/api/k", type, LONG, body)).body());
+                    client.ask(request("PUT", "/api/k", type, LONG_WAIT_SECONDS, body))
+                            .body());
             assertEquals("same", client.ask(chunked(type, body, 50_000)).body());
             assertEquals("same", client.ask(chunked(type, body, 1_000_000)).body());
         }
         awaitIdle();
     }
 
-    /** Twelve of 400 kB where two have room: the others are not read, and every one of them is served in its turn. */
+    /** Twelve bodies of 400 kB, of which the budget holds two: the others are not read until memory is released. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
-    void servesMoreBodiesThanThereIsRoomFor(boolean known) throws Exception {
+    void servesMoreBodiesThanTheBudgetHolds(boolean known) throws Exception {
         String body = text(400_000);
         BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
         script = (request, socket) -> held.add(socket);
@@ -133,12 +134,14 @@
         for (int i = 0; i < 12; i++) {
             Client client = client();
             clients.add(client);
-            String text = known ? request("PUT", "/api/k" + i, "once", LONG, body) : chunked("once", body, 30_000);
+            String text = known
+                    ? request("PUT", "/api/k" + i, "once", LONG_WAIT_SECONDS, body)
+                    : chunked("once", body, 30_000);
             Thread writer = new Thread(() -> {
                 try {
                     write(client.socket, text);
                 } catch (IOException e) {
-                    return; // its answer, or the lack of one, will tell
+                    return; // the check of its response detects the failure
                 }
             });
             writer.start();
@@ -147,11 +150,11 @@
         int most = 0;
         for (int served = 0; served < clients.size(); served++) {
             Socket first = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(first, "after " + served);
+            assertNotNull(first, "no further request; served so far: " + served);
             most = Math.max(most, 1 + held.size());
             write(first, answer(200, "", "done"));
         }
-        assertTrue(most <= 2, most + " at once");
+        assertTrue(most <= 2, most + " bodies forwarded at once");
         for (Client client : clients) {
             assertEquals("done", client.answer().body());
             client.close();
@@ -163,14 +166,16 @@
     }
 
     @Test
-    void givesTheRoomOfAClientThatLeftToTheNext() throws Exception {
-        String body = text(ROOM);
+    void releasesTheReservationOfADisconnectedClient() throws Exception {
+        String body = text(BUDGET_BYTES);
         Client first = client();
-        write(first.socket, request("PUT", "/api/k", "once", LONG, body).substring(0, ROOM / 2));
+        write(
+                first.socket,
+                request("PUT", "/api/k", "once", LONG_WAIT_SECONDS, body).substring(0, BUDGET_BYTES / 2));
         try (Client second = client()) {
             Thread writer = new Thread(() -> {
                 try {
-                    write(second.socket, request("PUT", "/api/j", "once", LONG, body));
+                    write(second.socket, request("PUT", "/api/j", "once", LONG_WAIT_SECONDS, body));
                 } catch (IOException e) {
                     return;
                 }
@@ -183,74 +188,74 @@
         assertEquals(1, node.requests.size());
     }
 
-    /** What has no whole body can't have run, so even what may run once only is tried again. */
+    /** A request whose body was cut short can't have been executed, so even a non-repeatable one is retried. */
     @Test
-    void triesAgainWhenTheNodeBreaksOffWithinTheBody() throws Exception {
-        String body = text(ROOM);
-        try (ServerSocket breaking = new ServerSocket()) {
-            breaking.setReceiveBufferSize(8 << 10); // so that the body can't all be on its way
-            breaking.bind(new InetSocketAddress(Loopback.HOST, 0));
-            Thread breaker = new Thread(() -> {
+    void retriesWhenTheNodeDisconnectsWithinTheBody() throws Exception {
+        String body = text(BUDGET_BYTES);
+        try (ServerSocket abortingNode = new ServerSocket()) {
+            abortingNode.setReceiveBufferSize(8 << 10); // so that the whole body can't be in flight
+            abortingNode.bind(new InetSocketAddress(Loopback.HOST, 0));
+            Thread nodeThread = new Thread(() -> {
                 try {
-                    try (Socket socket = breaking.accept()) {
+                    try (Socket socket = abortingNode.accept()) {
                         socket.getInputStream().readNBytes(10_000);
                     }
-                    try (Socket socket = breaking.accept()) {
-                        Message came = Loopback.read(new BufferedInputStream(socket.getInputStream()));
-                        write(socket, answer(200, "", "whole " + came.body().length()));
+                    try (Socket socket = abortingNode.accept()) {
+                        Message received = Loopback.read(new BufferedInputStream(socket.getInputStream()));
+                        write(socket, answer(200, "", "whole " + received.body().length()));
                         socket.getInputStream().read();
                     }
                 } catch (IOException e) {
                     return;
                 }
             });
-            breaker.setDaemon(true);
-            breaker.start();
+            nodeThread.setDaemon(true);
+            nodeThread.start();
             proxy.stop();
             proxy = ProxyServer.of(Loopback.environment(
                             folder,
                             discovery.address(),
                             200,
                             60_000,
-                            list(1, true, entry("s-0", "127.0.0.1:" + breaking.getLocalPort(), "Ready", 0))))
-                    .bodies(ROOM)
+                            list(1, true, entry("s-0", "127.0.0.1:" + abortingNode.getLocalPort(), "Ready", 0))))
+                    .bodies(BUDGET_BYTES)
                     .start();
             try (Client client = client()) {
                 Thread writer = new Thread(() -> {
                     try {
-                        write(client.socket, request("PUT", "/api/k", "once", LONG, body));
+                        write(client.socket, request("PUT", "/api/k", "once", LONG_WAIT_SECONDS, body));
                     } catch (IOException e) {
                         return;
                     }
                 });
                 writer.start();
-                assertEquals("whole " + ROOM, client.answer().body());
+                assertEquals("whole " + BUDGET_BYTES, client.answer().body());
                 writer.join();
             }
-            breaker.interrupt();
+            nodeThread.interrupt();
         }
     }
 
     @Test
-    void turnsAwayWhatCanNeverHaveRoom() throws Exception {
+    void rejectsABodyLargerThanTheBudget() throws Exception {
         try (Client client = client()) {
             assertEquals(
                     413,
-                    client.ask(request("PUT", "/api/k", "once", LONG, "x")
-                                    .replace("Content-Length: 1\r", "Content-Length: " + (ROOM + 1) + "\r"))
+                    client.ask(request("PUT", "/api/k", "once", LONG_WAIT_SECONDS, "x")
+                                    .replace("Content-Length: 1\r", "Content-Length: " + (BUDGET_BYTES + 1) + "\r"))
                             .status());
             assertNull(client.answer());
         }
         assertEquals(0, node.requests.size());
     }
 
-    /** A client that waits for leave to send hears it once there is room, and not before. */
+    /** A client that expects 100 Continue receives it only once memory is reserved for its body. */
     @Test
-    void letsExpectantClientsGoOnOnceThereIsRoom() throws Exception {
-        String body = text(ROOM);
+    void sendsContinueOnlyOnceMemoryIsReserved() throws Exception {
+        String body = text(BUDGET_BYTES);
         try (Client first = client();
                 Client second = client()) {
-            String one = request("PUT", "/api/k", "once", LONG, body)
+            String one = request("PUT", "/api/k", "once", LONG_WAIT_SECONDS, body)
                     .replace("Host: app.svc", "Host: app.svc\r\nExpect: 100-continue");
             String head = one.substring(0, one.indexOf("\r\n\r\n") + 4);
             write(first.socket, head);
--- a/src/test/java/anisebend/net/ServiceTest.java
+++ b/src/test/java/anisebend/net/ServiceTest.java
@@ -40,9 +40,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Daily service over sockets: the second address, emptying, retuning under load, an upgrade. */
+/** Operation over real sockets: the operators' address, draining, reloading under load, process handover. */
 class ServiceTest {
-    private static final double LONG = 60;
+    private static final double LONG_WAIT_SECONDS = 60;
 
     @TempDir
     Path folder;
@@ -51,14 +51,14 @@
     private Server discovery;
     private Map<String, String> env;
     private final List<ProxyServer> proxies = new ArrayList<>();
-    /** Requests that the node holds until the test lets them go. */
-    private final BlockingQueue<Socket> held = new LinkedBlockingQueue<>();
+    /** Connections whose requests the node leaves open until the test answers them. */
+    private final BlockingQueue<Socket> heldSockets = new LinkedBlockingQueue<>();
 
     @BeforeEach
     void open() throws IOException {
         node = new Server((request, socket) -> {
             if (request.first().contains("/api/hold")) {
-                held.add(socket);
+                heldSockets.add(socket);
             } else {
                 write(socket, answer(200, "X-Lookup: hit\r\n", "value"));
             }
@@ -90,25 +90,25 @@
         }
     }
 
-    private static long figure(ProxyServer proxy, String name) throws IOException {
+    private static long counter(ProxyServer proxy, String name) throws IOException {
         return call(proxy, "counters")
                 .lines()
                 .filter(line -> line.startsWith("edge_proxy." + name + ":"))
                 .map(line -> line.substring(line.indexOf(':') + 1, line.indexOf('|')))
                 .mapToLong(Long::parseLong)
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no figure " + name));
+                .orElseThrow(() -> new AssertionError("no counter " + name));
     }
 
-    /** Asks again until the figure says so; a signal is heard on a thread of its own. */
+    /** Polls until the counter has the value, as commands and signals take effect on other threads. */
     private static void await(ProxyServer proxy, String name, long value) throws IOException {
         long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (figure(proxy, name) != value) {
-            assertTrue(System.nanoTime() < end, name + " is not " + value + " but " + figure(proxy, name));
+        while (counter(proxy, name) != value) {
+            assertTrue(System.nanoTime() < end, name + " is not " + value + " but " + counter(proxy, name));
         }
     }
 
-    private void rewrite(String from, String to) throws IOException {
+    private void replaceInConfig(String from, String to) throws IOException {
         Path file = folder.resolve("config.json");
         String text = Files.readString(file);
         assertTrue(text.contains(from), from);
@@ -116,47 +116,51 @@
     }
 
     @Test
-    void countsWhatClientsWereTold() throws Exception {
+    void countsRequestOutcomes() throws Exception {
         ProxyServer proxy = start();
         try (Client client = new Client(proxy.address().getPort());
                 Client other = new Client(proxy.address().getPort())) {
             for (int i = 0; i < 3; i++) {
                 assertEquals(
                         200,
-                        client.ask(request("GET", "/api/k", "read", LONG, null)).status());
+                        client.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                                .status());
             }
             assertEquals(
                     404,
-                    client.ask(request("GET", "/other", "read", LONG, null)).status());
-            write(other.socket, request("PUT", "/api/hold", "once", LONG, "body"));
-            Socket waiting = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                    client.ask(request("GET", "/other", "read", LONG_WAIT_SECONDS, null))
+                            .status());
+            write(other.socket, request("PUT", "/api/hold", "once", LONG_WAIT_SECONDS, "body"));
+            Socket waiting = heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
             assertNotNull(waiting);
-            assertEquals(1, figure(proxy, "in_flight"));
+            assertEquals(1, counter(proxy, "in_flight"));
             write(waiting, answer(500, "", ""));
             assertEquals(502, other.answer().status());
-            assertEquals(3, figure(proxy, "requests.read.served"));
-            assertEquals(0, figure(proxy, "requests.read.failed"));
-            assertEquals(1, figure(proxy, "requests.once.failed"));
-            assertEquals(0, figure(proxy, "requests.keyed.refused"));
-            assertEquals(4, figure(proxy, "attempts"));
-            assertEquals(0, figure(proxy, "in_flight"));
-            assertEquals(1, figure(proxy, "cache_nodes_known"));
-            assertEquals(0, figure(proxy, "cache_nodes_excluded"));
+            assertEquals(3, counter(proxy, "requests.read.served"));
+            assertEquals(0, counter(proxy, "requests.read.failed"));
+            assertEquals(1, counter(proxy, "requests.once.failed"));
+            assertEquals(0, counter(proxy, "requests.keyed.refused"));
+            assertEquals(4, counter(proxy, "attempts"));
+            assertEquals(0, counter(proxy, "in_flight"));
+            assertEquals(1, counter(proxy, "cache_nodes_known"));
+            assertEquals(0, counter(proxy, "cache_nodes_excluded"));
         }
     }
 
-    /** Silent callers, and clients of the other address, must not keep an operator out. */
+    /** Draining closes idle and silent connections and lets open requests finish; resuming accepts clients again. */
     @Test
-    void emptiesAndTakesClientsAgain() throws Exception {
+    void drainsAndAcceptsClientsAgain() throws Exception {
         ProxyServer proxy = start();
         int port = proxy.address().getPort();
         try (Client idle = new Client(port);
                 Client busy = new Client(port);
                 Client silent = new Client(port)) {
             assertEquals(
-                    200, idle.ask(request("GET", "/api/k", "read", LONG, null)).status());
-            write(busy.socket, request("PUT", "/api/hold", "once", LONG, "body"));
-            Socket waiting = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                    200,
+                    idle.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                            .status());
+            write(busy.socket, request("PUT", "/api/hold", "once", LONG_WAIT_SECONDS, "body"));
+            Socket waiting = heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
             assertTrue(call(proxy, "health").startsWith("200"));
             assertTrue(call(proxy, "quiesce").startsWith("200"));
             assertTrue(call(proxy, "health").startsWith("400"));
@@ -166,16 +170,16 @@
                         probe.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                                 .status());
             }
-            assertNull(idle.answer(), "idle connections go");
-            assertNull(silent.answer(), "so do those on which nothing was ever asked");
+            assertNull(idle.answer(), "the idle connection was not closed");
+            assertNull(silent.answer(), "the connection without any request was not closed");
             write(waiting, answer(200, "", "late"));
             Message last = busy.answer();
-            assertEquals("late", last.body(), "what is held is finished");
+            assertEquals("late", last.body(), "the open request was not completed");
             assertEquals("close", last.header("Connection"));
             assertNull(busy.answer());
             try (Client late = new Client(port)) {
-                Message served = late.ask(request("GET", "/api/k", "read", LONG, null));
-                assertEquals("value", served.body(), "who comes all the same is served");
+                Message served = late.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null));
+                assertEquals("value", served.body(), "a client that still connects was not served");
                 assertEquals("close", served.header("Connection"));
             }
             assertTrue(call(proxy, "resume").startsWith("200"));
@@ -184,42 +188,46 @@
                         200,
                         back.ask("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                                 .status());
-                Message served = back.ask(request("GET", "/api/k", "read", LONG, null));
+                Message served = back.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null));
                 assertFalse("close".equals(served.header("Connection")));
             }
         }
     }
 
-    /** A class changes from once to safe while a request of it is out: that one is not sent again, a new one is. */
+    /** A class becomes repeatable while a request of it is open: that one is not retried, a new one is. */
     @Test
-    void anOpenRequestKeepsTheRulesItCameUnder() throws Exception {
+    void anOpenRequestKeepsTheRulesOfItsArrival() throws Exception {
         ProxyServer proxy = start();
         try (Client before = new Client(proxy.address().getPort());
                 Client after = new Client(proxy.address().getPort())) {
             assertEquals(
                     400,
-                    after.ask(request("GET", "/api/k", "later", LONG, null)).status());
-            write(before.socket, request("PUT", "/api/hold", "once", LONG, "body"));
-            Socket waiting = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-            rewrite("{\"name\":\"once\",\"repeat\":\"non_idempotent\"", "{\"name\":\"once\",\"repeat\":\"read_like\"");
-            rewrite("{\"name\":\"read\",", "{\"name\":\"later\",");
+                    after.ask(request("GET", "/api/k", "later", LONG_WAIT_SECONDS, null))
+                            .status());
+            write(before.socket, request("PUT", "/api/hold", "once", LONG_WAIT_SECONDS, "body"));
+            Socket waiting = heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            replaceInConfig(
+                    "{\"name\":\"once\",\"repeat\":\"non_idempotent\"", "{\"name\":\"once\",\"repeat\":\"read_like\"");
+            replaceInConfig("{\"name\":\"read\",", "{\"name\":\"later\",");
             proxy.reload();
             await(proxy, "reloads_ok", 1);
             write(waiting, answer(500, "", ""));
-            assertEquals(502, before.answer().status(), "it may have run");
-            write(after.socket, request("PUT", "/api/hold", "once", LONG, "body"));
-            write(held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), answer(500, "", ""));
-            Socket again = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-            assertNotNull(again, "under its new rules it may be repeated");
+            assertEquals(502, before.answer().status(), "a request that may have been executed was retried");
+            write(after.socket, request("PUT", "/api/hold", "once", LONG_WAIT_SECONDS, "body"));
+            write(heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS), answer(500, "", ""));
+            Socket again = heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            assertNotNull(again, "a new request was not retried under the new rules");
             write(again, answer(200, "", "second"));
             assertEquals("second", after.answer().body());
             assertEquals(
                     "value",
-                    after.ask(request("GET", "/api/k", "later", LONG, null)).body());
+                    after.ask(request("GET", "/api/k", "later", LONG_WAIT_SECONDS, null))
+                            .body());
             assertEquals(
                     400,
-                    before.ask(request("GET", "/api/k", "read", LONG, null)).status());
-            assertEquals(1, figure(proxy, "requests.later.served"));
+                    before.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                            .status());
+            assertEquals(1, counter(proxy, "requests.later.served"));
         }
     }
 
@@ -241,91 +249,96 @@
                 "\"fraction\":1.0,; ",
                 "\"shapes\":[\"m\"]; \"shapes\":[]"
             })
-    void takesNothingFromABrokenFile(String from, String to) throws Exception {
+    void ignoresAnInvalidFileEntirely(String from, String to) throws Exception {
         ProxyServer proxy = start();
-        rewrite(from, to == null ? "" : to);
-        rewrite("{\"name\":\"keyed\",", "{\"name\":\"new\",");
+        replaceInConfig(from, to == null ? "" : to);
+        replaceInConfig("{\"name\":\"keyed\",", "{\"name\":\"new\",");
         proxy.reload();
         await(proxy, "reloads_failed", 1);
-        assertEquals(0, figure(proxy, "reloads_ok"));
+        assertEquals(0, counter(proxy, "reloads_ok"));
         try (Client client = new Client(proxy.address().getPort())) {
             assertEquals(
                     "value",
-                    client.ask(request("PUT", "/api/k", "keyed", LONG, "x")).body());
+                    client.ask(request("PUT", "/api/k", "keyed", LONG_WAIT_SECONDS, "x"))
+                            .body());
             assertEquals(
-                    400, client.ask(request("PUT", "/api/k", "new", LONG, "x")).status());
+                    400,
+                    client.ask(request("PUT", "/api/k", "new", LONG_WAIT_SECONDS, "x"))
+                            .status());
         }
     }
 
-    /** Both listen at one address; the old one leaves, and whoever asks is served all the time. */
+    /** Both processes listen at one address; the old one drains, and clients are served without interruption. */
     @Test
-    void aNewProcessTakesOver() throws Exception {
+    void aNewProcessTakesOverClients() throws Exception {
         ProxyServer old = start();
         int port = old.address().getPort();
-        rewrite("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
+        replaceInConfig("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"127.0.0.1:" + port + "\"");
         try (Client busy = new Client(port);
                 Client idle = new Client(port)) {
-            write(busy.socket, request("PUT", "/api/hold", "once", LONG, "body"));
-            Socket waiting = held.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            write(busy.socket, request("PUT", "/api/hold", "once", LONG_WAIT_SECONDS, "body"));
+            Socket waiting = heldSockets.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
             assertEquals(
                     "value",
-                    idle.ask(request("GET", "/api/k", "read", LONG, null)).body());
+                    idle.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                            .body());
             ProxyServer next = ProxyServer.of(env);
             proxies.add(next);
             next.startWarm();
             long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
             while (!call(next, "health").startsWith("200")) {
-                assertTrue(System.nanoTime() < end, "the new one is never ready");
+                assertTrue(System.nanoTime() < end, "the new process did not become ready");
             }
-            Thread leaving = new Thread(old::drain);
-            leaving.start();
+            Thread drainThread = new Thread(old::drain);
+            drainThread.start();
             assertNull(idle.answer());
             write(waiting, answer(200, "", "late"));
             assertEquals("late", busy.answer().body());
             assertNull(busy.answer());
-            leaving.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+            drainThread.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
             for (int i = 0; i < 20; i++) {
                 try (Client client = new Client(port)) {
-                    Message served = client.ask(request("GET", "/api/k", "read", LONG, null));
+                    Message served = client.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null));
                     assertEquals("value", served.body());
                 }
             }
-            assertEquals(20, figure(next, "requests.read.served"), "all of them reached the new one");
+            assertEquals(20, counter(next, "requests.read.served"), "requests that the new process served");
         }
     }
 
-    /** An operator changes his mind, and the classes, while the proxy is emptied. */
+    /** Repeated drains and resumes, with a change of the classes during one drain. */
     @Test
-    void isEmptiedThreeTimesAndRetunedMeanwhile() throws Exception {
+    void drainsThreeTimesWithAReloadMeanwhile() throws Exception {
         ProxyServer proxy = start();
         int port = proxy.address().getPort();
         for (int i = 0; i < 3; i++) {
             try (Client idle = new Client(port)) {
                 assertEquals(
                         200,
-                        idle.ask(request("GET", "/api/k", "read", LONG, null)).status());
+                        idle.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                                .status());
                 assertTrue(call(proxy, "quiesce").startsWith("200"));
                 assertEquals(Phase.EMPTYING, proxy.phase());
                 assertNull(idle.answer());
             }
             if (i == 1) {
-                rewrite("{\"name\":\"keyed\",", "{\"name\":\"new\",");
+                replaceInConfig("{\"name\":\"keyed\",", "{\"name\":\"new\",");
                 proxy.reload();
                 await(proxy, "reloads_ok", 1);
-                assertTrue(call(proxy, "health").startsWith("400"), "that does not end the drain");
+                assertTrue(call(proxy, "health").startsWith("400"), "the reload ended the drain");
             }
             assertTrue(call(proxy, "resume").startsWith("200"));
         }
         try (Client client = new Client(port)) {
-            Message served = client.ask(request("PUT", "/api/k", "new", LONG, "x"));
+            Message served = client.ask(request("PUT", "/api/k", "new", LONG_WAIT_SECONDS, "x"));
             assertEquals("value", served.body());
             assertFalse("close".equals(served.header("Connection")));
         }
     }
 
-    /** Whoever is to end must not count on a process that has just been emptied. */
+    /** A process that is about to end must not rely on a successor that has just been drained. */
     @Test
-    void tellsTheOthersAtOnceThatItIsEmptied() throws Exception {
+    void announcesADrainToOtherProcessesAtOnce() throws Exception {
         try (Succession before = new Succession(folder.resolve("gorsemast-n0"))) {
             ProxyServer later = start();
             assertTrue(call(later, "resume").startsWith("200"));
@@ -337,61 +350,65 @@
         }
     }
 
-    /** A restart in the middle of an upgrade: nobody else takes clients yet, so the old one serves on until one does. */
+    /** A restart during an upgrade: the old process keeps serving until its successor accepts clients. */
     @Test
-    void servesOnUntilItsSuccessorTakesClients() throws Exception {
+    void servesUntilItsSuccessorAcceptsClients() throws Exception {
         ProxyServer old = start();
         int port = old.address().getPort();
         try (Succession warming = new Succession(folder.resolve("gorsemast-n0"));
                 Client idle = new Client(port)) {
             assertEquals(
                     "value",
-                    idle.ask(request("GET", "/api/k", "read", LONG, null)).body());
-            Thread leaving = new Thread(old::drain);
-            leaving.start();
+                    idle.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                            .body());
+            Thread drainThread = new Thread(old::drain);
+            drainThread.start();
             while (call(old, "health").startsWith("200")) {
-                Thread.onSpinWait(); // the signal is heard on a thread of its own
+                Thread.onSpinWait(); // drain takes effect on another thread
             }
             assertEquals(
                     "value",
-                    idle.ask(request("GET", "/api/k", "read", LONG, null)).body());
+                    idle.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                            .body());
             try (Client late = new Client(port)) {
                 assertEquals(
                         "value",
-                        late.ask(request("GET", "/api/k", "read", LONG, null)).body());
+                        late.ask(request("GET", "/api/k", "read", LONG_WAIT_SECONDS, null))
+                                .body());
             }
             warming.tell(Generations.Standing.SERVING);
-            assertNull(idle.answer(), "it leaves at once then");
-            leaving.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
-            assertEquals(Phase.HANDING_OVER, old.phase(), "and not because its time was up");
+            assertNull(idle.answer(), "the idle connection was not closed after the handover");
+            drainThread.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+            assertEquals(Phase.HANDING_OVER, old.phase(), "it left because its time limit was reached");
             assertTrue(old.idle());
         }
     }
 
-    /** Both are stopped by a restart while the later one still warms up: who came first may need all of its time. */
+    /** A restart stops both while the later one warms up: it must not end first, as the earlier may need all its time. */
     @Test
-    void endsAfterTheProcessThatCameBeforeIt() throws Exception {
+    void endsAfterItsPredecessor() throws Exception {
         Succession before = new Succession(folder.resolve("gorsemast-n0"));
         ProxyServer next = ProxyServer.of(env);
         proxies.add(next);
         next.startWarm();
-        Thread leaving = new Thread(next::drain);
-        leaving.start();
+        Thread drainThread = new Thread(next::drain);
+        drainThread.start();
         for (int i = 0; i < 5; i++) {
-            call(next, "health"); // alone it would have ended within the first of these
+            call(next, "health"); // without a predecessor it would have ended within the first of these
         }
-        assertTrue(leaving.isAlive(), "it has ended first");
+        assertTrue(drainThread.isAlive(), "it ended before its predecessor");
         before.close();
-        leaving.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
-        assertFalse(leaving.isAlive());
+        drainThread.join(TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        assertFalse(drainThread.isAlive());
     }
 
-    /** Its client reads nothing until the process has gone. */
+    /** The client reads nothing until the process has ended; the send buffer must hold the response. */
     @Test
-    void aLongAnswerOutlivesTheProcessThatHadItInHand() throws Exception {
+    void aLongResponseOutlivesItsProcess() throws Exception {
         try (SocketChannel probe = SocketChannel.open()) {
             probe.setOption(StandardSocketOptions.SO_SNDBUF, 4 << 20);
-            Assumptions.assumeTrue(probe.getOption(StandardSocketOptions.SO_SNDBUF) >= 4 << 20, "wmem_max is low");
+            Assumptions.assumeTrue(
+                    probe.getOption(StandardSocketOptions.SO_SNDBUF) >= 4 << 20, "net.core.wmem_max is below 4 MiB");
         }
         ProxyServer old = start();
         int length = 5_500_000;
@@ -404,10 +421,10 @@
             next.tell(Generations.Standing.SERVING);
             slow.setReceiveBufferSize(64 << 10);
             slow.connect(old.address());
-            write(slow, request("GET", "/api/long", "read", LONG, null));
+            write(slow, request("GET", "/api/long", "read", LONG_WAIT_SECONDS, null));
             assertEquals('H', slow.getInputStream().read());
             old.drain();
-            assertTrue(old.idle(), "it still has something in hand");
+            assertTrue(old.idle(), "it still holds a request");
             old.stop();
             assertTrue(slow.getInputStream().readAllBytes().length > length);
         }
