--- a/src/main/java/gorsemast/command/Check.java
+++ b/src/main/java/gorsemast/command/Check.java
@@ -4,8 +4,8 @@
 import gorsemast.configuration.ConfigurationException;
 import gorsemast.http.NettyLog;
 import gorsemast.modelcheck.MembershipCheck;
-import gorsemast.modelcheck.Plant;
 import gorsemast.modelcheck.StoreCheck;
+import gorsemast.modelcheck.StoreDefect;
 import gorsemast.node.Settings;
 import gorsemast.node.SettingsException;
 import gorsemast.settings.GorsemastSettings;
@@ -106,7 +106,7 @@
                 defaultValue = "NONE",
                 paramLabel = "DEFECT",
                 description = "One of ${COMPLETION-CANDIDATES}.")
-        private Plant plant;
+        private StoreDefect plant;
 
         /** A course of changes takes as long as some ten others. */
         private static final int COURSES_A_CHANGE = 10;
@@ -121,24 +121,24 @@
             long begun = System.nanoTime();
             StoreCheck.Result rows = StoreCheck.all(members, depth, plant);
             StoreCheck.Result drawn =
-                    rows.broken() != null ? rows : StoreCheck.drawn(members, spares, seed, courses, events, plant);
-            StoreCheck.Result changed = drawn.broken() != null
+                    rows.violation() != null ? rows : StoreCheck.random(members, spares, seed, courses, events, plant);
+            StoreCheck.Result changed = drawn.violation() != null
                     ? drawn
-                    : MembershipCheck.drawn(members, 1, seed, Math.max(1, courses / COURSES_A_CHANGE), CHANGES, plant);
+                    : MembershipCheck.random(members, 1, seed, Math.max(1, courses / COURSES_A_CHANGE), CHANGES, plant);
             double seconds = (System.nanoTime() - begun) / 1e9;
-            if (changed.broken() != null) {
-                changed.story().forEach(System.out::println);
-                System.out.println("broken: " + changed.broken());
+            if (changed.violation() != null) {
+                changed.eventLog().forEach(System.out::println);
+                System.out.println("broken: " + changed.violation());
                 return Gorsemast.FAILED;
             }
             System.out.printf(
                     "%d rows of %d events, %d courses of %d, %d courses of %d changes of members:"
                             + " %d calls answered, nothing lost; %.1f s%n",
-                    rows.courses(),
+                    rows.scenarios(),
                     depth,
-                    drawn.courses(),
+                    drawn.scenarios(),
                     events,
-                    changed.courses(),
+                    changed.scenarios(),
                     CHANGES,
                     rows.answered() + drawn.answered() + changed.answered(),
                     seconds);
--- a/src/main/java/gorsemast/command/CheckRegistry.java
+++ b/src/main/java/gorsemast/command/CheckRegistry.java
@@ -2,7 +2,7 @@
 
 import gorsemast.http.NettyLog;
 import gorsemast.modelcheck.RegistryCheck;
-import gorsemast.modelcheck.RegistryPlant;
+import gorsemast.modelcheck.RegistryDefect;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -39,7 +39,7 @@
             defaultValue = "NONE",
             paramLabel = "DEFECT",
             description = "One of ${COMPLETION-CANDIDATES}.")
-    private RegistryPlant plant;
+    private RegistryDefect plant;
 
     @Override
     public Integer call() {
@@ -48,18 +48,19 @@
         }
         NettyLog.install();
         long begun = System.nanoTime();
-        RegistryCheck.Result rows = RegistryCheck.all(depth, plant);
-        RegistryCheck.Result drawn = rows.broken() != null ? rows : RegistryCheck.drawn(seed, courses, events, plant);
-        if (drawn.broken() != null) {
-            drawn.story().forEach(System.out::println);
-            System.out.println("broken: " + drawn.broken());
+        RegistryCheck.Result rows = RegistryCheck.exhaustive(depth, plant);
+        RegistryCheck.Result drawn =
+                rows.violation() != null ? rows : RegistryCheck.random(seed, courses, events, plant);
+        if (drawn.violation() != null) {
+            drawn.eventLog().forEach(System.out::println);
+            System.out.println("broken: " + drawn.violation());
             return Gorsemast.FAILED;
         }
         System.out.printf(
                 "%d rows of %d events, %d courses of %d: %d orders acknowledged, all known to who vouches; %.1f s%n",
-                rows.courses(),
+                rows.scenarios(),
                 depth,
-                drawn.courses(),
+                drawn.scenarios(),
                 events,
                 rows.acknowledged() + drawn.acknowledged(),
                 (System.nanoTime() - begun) / 1e9);
--- a/src/main/java/gorsemast/command/HuntCommand.java
+++ b/src/main/java/gorsemast/command/HuntCommand.java
@@ -1,11 +1,11 @@
 package gorsemast.command;
 
 import gorsemast.http.NettyLog;
-import gorsemast.simulation.Day;
-import gorsemast.simulation.Hunt;
+import gorsemast.simulation.Fault;
+import gorsemast.simulation.InjectedDefect;
 import gorsemast.simulation.Outcome;
-import gorsemast.simulation.Plant;
-import gorsemast.simulation.Trouble;
+import gorsemast.simulation.Scenario;
+import gorsemast.simulation.ScenarioSearch;
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
@@ -62,7 +62,7 @@
             defaultValue = "NONE",
             paramLabel = "DEFECT",
             description = "One of ${COMPLETION-CANDIDATES}.")
-    private Plant plant;
+    private InjectedDefect plant;
 
     @Option(
             names = "--most",
@@ -95,7 +95,7 @@
             split = ",",
             paramLabel = "KIND",
             description = "Kinds of trouble to leave out: ${COMPLETION-CANDIDATES}.")
-    private Set<Trouble.Kind> without = EnumSet.noneOf(Trouble.Kind.class);
+    private Set<Fault.Kind> without = EnumSet.noneOf(Fault.Kind.class);
 
     @Override
     public Integer call() {
@@ -114,26 +114,26 @@
                             + SHORTEST + " to " + LONGEST);
         }
         NettyLog.install();
-        IntFunction<Day> all = number -> (pressed
-                        ? Day.pressed(cores, edges, seed + number)
+        IntFunction<Scenario> all = number -> (pressed
+                        ? Scenario.generateIntense(cores, edges, seed + number)
                         : seconds > 0
-                                ? Day.drawn(cores, edges, seed + number, seconds)
-                                : Day.drawn(cores, edges, seed + number))
-                .without(without)
-                .bearing(losses);
-        Hunt.Result result = Hunt.run(all, days, plant, most);
-        for (Hunt.Found broken : result.found()) {
-            Hunt.Found least = Hunt.shortest(broken, plant);
-            least.story().forEach(System.out::println);
-            System.out.println(least.day().asTest());
+                                ? Scenario.generate(cores, edges, seed + number, seconds)
+                                : Scenario.generate(cores, edges, seed + number))
+                .withoutFaults(without)
+                .withTolerableLosses(losses);
+        ScenarioSearch.Result result = ScenarioSearch.run(all, days, plant, most);
+        for (ScenarioSearch.Failure broken : result.failures()) {
+            ScenarioSearch.Failure least = ScenarioSearch.minimize(broken, plant);
+            least.eventLog().forEach(System.out::println);
+            System.out.println(least.scenario().toTestCode());
             System.out.println();
         }
         List<Outcome> outcomes = result.outcomes();
         System.out.printf(
                 Locale.ROOT,
                 "%d days, %d broken%n",
-                result.days(),
-                result.found().size());
+                result.runs(),
+                result.failures().size());
         Map<String, List<Long>> times = new TreeMap<>();
         outcomes.forEach(
                 day -> day.times().forEach((what, took) -> times.computeIfAbsent(what, name -> new ArrayList<>())
@@ -143,9 +143,9 @@
             System.out.printf(
                     Locale.ROOT,
                     "of requests %.3f are held to a bound of time%n",
-                    outcomes.stream().mapToInt(Outcome::bound).sum()
+                    outcomes.stream().mapToInt(Outcome::timeBound).sum()
                             / (double)
-                                    outcomes.stream().mapToInt(Outcome::judged).sum());
+                                    outcomes.stream().mapToInt(Outcome::checked).sum());
             System.out.printf(
                     Locale.ROOT,
                     "an edge sends %.0f bytes and %.1f records a second%n",
@@ -155,7 +155,7 @@
                             .average()
                             .orElse(0));
         }
-        return result.found().isEmpty() ? Gorsemast.DONE : Gorsemast.FAILED;
+        return result.failures().isEmpty() ? Gorsemast.DONE : Gorsemast.FAILED;
     }
 
     private static String spread(List<Long> took) {
--- a/src/main/java/gorsemast/emulator/Cluster.java
+++ b/src/main/java/gorsemast/emulator/Cluster.java
@@ -12,7 +12,7 @@
 /**
  * A whole tier in virtual time, and what can be done to it.
  *
- * <p>Deterministic from its settings and what is called: the same seed and {@link Day} give the same sums. One thread. A
+ * <p>Deterministic from its settings and what is called: the same seed and {@link Scenario} give the same sums. One thread. A
  * second of 100 proxies and 200 nodes takes some tenths of a second of processor time.
  */
 public final class Cluster {
--- a/src/main/java/gorsemast/emulator/Growth.java
+++ b/src/main/java/gorsemast/emulator/Growth.java
@@ -10,7 +10,7 @@
 /**
  * How what the whole tier does for a request grows with the number of proxies and of nodes.
  *
- * <p>Each size is one run of a {@link Day} from one seed; an exponent is that of the power law through the first and the
+ * <p>Each size is one run of a {@link Scenario} from one seed; an exponent is that of the power law through the first and the
  * last size. What each proxy does alone and nobody bounds over all has an exponent near 1 a proxy.
  */
 public final class Growth {
--- a/src/main/java/gorsemast/modelcheck/SpoiledMessages.java
+++ b/src/main/java/gorsemast/modelcheck/DefectiveMessages.java
@@ -19,55 +19,56 @@
 import java.util.Map;
 import java.util.function.UnaryOperator;
 
-/** The planted defects that lie in messages: what is sent in place of the right one. One thread. */
-final class SpoiledMessages {
+/** Applies the injected defects that alter messages. Single-threaded. */
+final class DefectiveMessages {
     private static final long FAR = Long.MAX_VALUE / 4;
     private static final long TERMS_AHEAD = 1_000;
 
-    private final Plant plant;
+    private final StoreDefect defect;
     /** The term in which each content was first seen under its number. */
     private final Map<String, Long> firstTerms = new HashMap<>();
 
-    SpoiledMessages(Plant plant) {
-        this.plant = plant;
+    DefectiveMessages(StoreDefect defect) {
+        this.defect = defect;
     }
 
     /**
-     * What is sent in place of a message; null for nothing.
+     * The message sent in place of this one; null for none.
      *
-     * @param lastAsked the term that was last asked for by anybody
+     * @param lastAsked the term of the last vote request
      */
-    Message spoiled(Message message, long lastAsked) {
-        if (plant == Plant.VOTE_WITHOUT_KEPT && message instanceof Vote vote) {
+    Message applyDefects(Message message, long lastAsked) {
+        if (defect == StoreDefect.VOTE_WITHOUT_KEPT && message instanceof Vote vote) {
             return new Vote(vote.from(), vote.term(), null);
         }
-        if (plant == Plant.INSTALL_WITHOUT_KEPT && message instanceof Install install) {
+        if (defect == StoreDefect.INSTALL_WITHOUT_KEPT && message instanceof Install install) {
             return new Install(install.from(), install.term(), install.view(), StoredVersion.NONE);
         }
-        if (plant == Plant.REFUSAL_COUNTS_AS_VOTE && message instanceof VoteRefused refused) {
+        if (defect == StoreDefect.REFUSAL_COUNTS_AS_VOTE && message instanceof VoteRefused refused) {
             return new Vote(refused.from(), lastAsked, null);
         }
-        if ((plant == Plant.COPIED_WITHOUT_COPY || plant == Plant.NO_BACKUP) && message instanceof Append) {
+        if ((defect == StoreDefect.COPIED_WITHOUT_COPY || defect == StoreDefect.NO_BACKUP)
+                && message instanceof Append) {
             return null;
         }
-        if (plant == Plant.VIEW_OF_ONE && message instanceof ViewChange change) {
+        if (defect == StoreDefect.VIEW_OF_ONE && message instanceof ViewChange change) {
             return new ViewChange(change.from(), ofOne(change.view()));
         }
-        if (plant == Plant.VIEW_OF_ONE && message instanceof Install install) {
+        if (defect == StoreDefect.VIEW_OF_ONE && message instanceof Install install) {
             return new Install(install.from(), install.term(), ofOne(install.view()), install.stored());
         }
-        if (plant == Plant.TERMS_IGNORED && message instanceof RequestVote request) {
+        if (defect == StoreDefect.TERMS_IGNORED && message instanceof RequestVote request) {
             return new RequestVote(
                     request.from(),
                     request.term() + TERMS_AHEAD,
                     FAR,
                     new StoredVersion(FAR, 0, new byte[0], VersionHistory.NONE));
         }
-        if (plant == Plant.NUMBERS_FORGOTTEN) {
+        if (defect == StoreDefect.NUMBERS_FORGOTTEN) {
             return handsOver(
                     message, held -> new StoredVersion(held.version(), held.term(), held.body(), VersionHistory.NONE));
         }
-        if (plant == Plant.FIRST_TERM_STAYS) {
+        if (defect == StoreDefect.FIRST_TERM_STAYS) {
             return handsOver(message, this::ofItsFirstTerm);
         }
         return message;
@@ -78,7 +79,7 @@
         return new StoredVersion(held.version(), first, held.body(), held.history());
     }
 
-    /** A message with another configuration in the place of the one that it hands over. */
+    /** The message with its configuration replaced. */
     private static Message handsOver(Message message, UnaryOperator<StoredVersion> spoil) {
         if (message instanceof Vote vote && vote.newer() != null) {
             return new Vote(vote.from(), vote.term(), spoil.apply(vote.newer()));
@@ -97,9 +98,9 @@
                 view.term(), view.primary(), view.backups(), view.members().subList(0, 1), List.of());
     }
 
-    /** The answer of a backup that looks at no term; null where that defect is not planted, or nothing is asked. */
+    /** The answer of a backup that ignores terms; null without that defect or if the message needs no answer. */
     Message answerInAnyTerm(Message message, Member backup) {
-        if (plant != Plant.ANSWERS_ANY_TERM) {
+        if (defect != StoreDefect.ANSWERS_ANY_TERM) {
             return null;
         }
         if (message instanceof Append append) {
--- a/src/main/java/gorsemast/modelcheck/MembershipCheck.java
+++ b/src/main/java/gorsemast/modelcheck/MembershipCheck.java
@@ -10,85 +10,84 @@
 import java.util.SplittableRandom;
 
 /**
- * Drawn courses in which the members of the store change: machines are replaced with and without notice, at the same and
- * at other addresses, stand still, and lose power in the middle of it; when each successor has had {@code syncTime}, as
- * much is lost as is to be borne, and what was acknowledged must be read back within a bound.
+ * Random scenarios in which the members of the store change: machines are replaced with and without notice, at the same and
+ * at other addresses, freeze, and lose power in between. When each successor has had {@code syncTime}, as much is lost as has
+ * to be tolerated, and what was acknowledged must be readable within a bound.
  */
 public final class MembershipCheck {
     private static final long SECOND = 1_000_000;
-    /** What the platform gives a machine that is back, before another one may be lost. */
+    /** How long a restarted machine gets before another one may be lost. */
     static final long SYNC_TIME = 4 * SECOND;
-    /** What it gives a process that is asked to leave, less what a store keeps back. */
+    /** The grace period of a process that is asked to leave, less what a store reserves. */
     static final long GRACE = 4_500_000;
-    /** Within this a read must answer after a loss that is to be borne. */
+    /** The time within which a read must answer after a tolerable loss. */
     static final long READ_WITHIN = 4 * SECOND;
 
-    private final StoreWorld world;
+    private final StoreSimulation simulation;
     private final SplittableRandom random;
     private final List<String> machines = new ArrayList<>();
     private final int losses;
 
-    private MembershipCheck(StoreWorld world, int losses, SplittableRandom random) {
-        this.world = world;
+    private MembershipCheck(StoreSimulation simulation, int losses, SplittableRandom random) {
+        this.simulation = simulation;
         this.losses = losses;
         this.random = random;
-        this.machines.addAll(world.machines());
+        this.machines.addAll(simulation.machines());
     }
 
     /**
-     * So many courses of so many changes each.
+     * Runs random scenarios of {@code changes} changes each.
      *
-     * @param members of the first start; machines to grow to {@code 2 * losses + 1} members, and a spare for every other
-     *     course, are there too
+     * @param members of the first start; machines to grow to {@code 2 * losses + 1} members, and a spare in every other
+     *     scenario, exist too
      */
-    public static Result drawn(int members, int losses, long seed, int courses, int changes, Plant plant) {
+    public static Result random(int members, int losses, long seed, int scenarios, int changes, StoreDefect defect) {
         SplittableRandom seeds = new SplittableRandom(seed);
         long answered = 0;
-        for (int c = 0; c < courses; c++) {
+        for (int c = 0; c < scenarios; c++) {
             int more = Math.max(0, 2 * losses + 1 - members) + c % 2;
-            StoreWorld world = new StoreWorld(
-                            members, more, FaultTolerance.ofMachines(losses), Map.of(), seeds.nextLong(), plant)
-                    .telling();
+            StoreSimulation simulation = new StoreSimulation(
+                            members, more, FaultTolerance.ofMachines(losses), Map.of(), seeds.nextLong(), defect)
+                    .recordingEvents();
             try {
-                new MembershipCheck(world, losses, seeds.split()).course(changes);
-            } catch (StoreWorld.Broken e) {
-                return new Result(c + 1, answered, e.getMessage(), world.story());
+                new MembershipCheck(simulation, losses, seeds.split()).course(changes);
+            } catch (StoreSimulation.Violation e) {
+                return new Result(c + 1, answered, e.getMessage(), simulation.eventLog());
             }
-            answered += world.answered();
+            answered += simulation.answered();
         }
-        return new Result(courses, answered, null, List.of());
+        return new Result(scenarios, answered, null, List.of());
     }
 
     private void course(int changes) {
-        world.calm(SECOND);
-        machines.forEach(world::start);
-        world.calm(SYNC_TIME + 2 * SECOND);
+        simulation.calm(SECOND);
+        machines.forEach(simulation::start);
+        simulation.calm(SYNC_TIME + 2 * SECOND);
         for (int i = 0; i < changes; i++) {
             put();
             change();
             put();
             lose();
             if (random.nextBoolean()) {
-                lose(); // with no order between, which would bring a copy up to date
+                lose(); // with no update in between, which would bring a replica up to date
             }
         }
-        world.heal();
+        simulation.heal();
     }
 
     private String any() {
         return machines.get(random.nextInt(machines.size()));
     }
 
-    /** An order is sent until it is acknowledged. */
+    /** Sends an update until it is acknowledged. */
     private void put() {
-        long before = world.newest();
-        for (int i = 0; i < 40 && world.newest() == before; i++) {
-            world.put(world.leader() == null ? any() : world.leader(), i > 0);
-            world.calm(SECOND / 10);
+        long before = simulation.newest();
+        for (int i = 0; i < 40 && simulation.newest() == before; i++) {
+            simulation.put(simulation.leader() == null ? any() : simulation.leader(), i > 0);
+            simulation.calm(SECOND / 10);
         }
-        if (world.newest() == before) {
-            throw new StoreWorld.Broken(
-                    "no order is acknowledged within 4 s though no more is lost than is to be borne");
+        if (simulation.newest() == before) {
+            throw new StoreSimulation.Violation("no update is acknowledged within 4 s though the losses are tolerable");
         }
     }
 
@@ -96,115 +95,116 @@
         String old = any();
         switch (random.nextInt(7)) {
             case 0 -> { // at another address, without notice
-                world.remove(old);
-                world.rough(random.nextLong(SECOND));
+                simulation.remove(old);
+                simulation.rough(random.nextLong(SECOND));
                 machines.set(machines.indexOf(old), join());
             }
             case 1 -> planned(old, false);
             case 2 -> planned(old, true);
             case 3 -> { // its disk is lost
-                world.lose(old);
-                world.rough(random.nextLong(SECOND));
-                world.start(old);
+                simulation.lose(old);
+                simulation.rough(random.nextLong(SECOND));
+                simulation.start(old);
             }
-            case 4 -> { // it stands still for as long as makes others give it up, or not quite
-                world.freeze(old, true);
-                world.calm(random.nextLong(4 * SECOND));
-                world.freeze(old, false);
+            case 4 -> { // it freezes for about as long as others wait before they consider it down
+                simulation.freeze(old, true);
+                simulation.calm(random.nextLong(4 * SECOND));
+                simulation.freeze(old, false);
             }
-            case 5 -> { // restarted in order
-                world.leave(old, GRACE);
-                world.rough(random.nextLong(SECOND));
-                world.start(old);
+            case 5 -> { // restarted gracefully
+                simulation.leave(old, GRACE);
+                simulation.rough(random.nextLong(SECOND));
+                simulation.start(old);
             }
-            default -> { // all at once, in the middle of whatever goes on
-                world.rough(random.nextLong(SECOND));
-                machines.forEach(ip -> world.kill(ip, true));
-                machines.forEach(world::start);
+            default -> { // all at once, amid pending work
+                simulation.rough(random.nextLong(SECOND));
+                machines.forEach(ip -> simulation.kill(ip, true));
+                machines.forEach(simulation::start);
             }
         }
-        world.rough(random.nextLong(SECOND / 2));
+        simulation.rough(random.nextLong(SECOND / 2));
         if (random.nextInt(4) == 0) {
-            machines.forEach(ip -> world.kill(ip, true));
-            machines.forEach(world::start);
+            machines.forEach(ip -> simulation.kill(ip, true));
+            machines.forEach(simulation::start);
         }
-        world.calm(SYNC_TIME);
+        simulation.calm(SYNC_TIME);
     }
 
     private String join() {
-        String joins = world.add();
-        world.start(joins);
+        String joins = simulation.add();
+        simulation.start(joins);
         return joins;
     }
 
-    /** The new one first; then the old one is asked to leave, and killed half way or given its time. */
+    /** Adds the new machine first; then the old one is asked to leave and killed half way or given its grace period. */
     private void planned(String old, boolean killed) {
         String joins = join();
-        world.calm(SYNC_TIME);
+        simulation.calm(SYNC_TIME);
         if (killed) {
-            world.ask(old);
-            world.rough(random.nextLong(SECOND / 10));
+            simulation.ask(old);
+            simulation.rough(random.nextLong(SECOND / 10));
         } else {
-            world.leave(old, GRACE);
+            simulation.leave(old, GRACE);
         }
-        world.remove(old);
+        simulation.remove(old);
         machines.set(machines.indexOf(old), joins);
         if (!killed && random.nextBoolean()) {
-            lose(); // its successor has had its time, and the old one had the time to hand over
+            lose(); // the successor had time to sync, and the old one to hand over
         }
     }
 
-    /** As much is lost as may be; others may lose power with it; a read answers; what was lost comes back. */
+    /** Loses as many machines as allowed, perhaps with a power loss of the others; checks that a read answers and restarts them. */
     private void lose() {
         List<String> lost = new ArrayList<>();
         while (lost.size() < losses) {
             String one = any();
             if (!lost.contains(one)) {
                 lost.add(one);
-                world.lose(one);
+                simulation.lose(one);
             }
         }
         if (random.nextInt(3) == 0) {
-            machines.stream().filter(ip -> !lost.contains(ip)).forEach(ip -> world.kill(ip, true));
-            machines.stream().filter(ip -> !lost.contains(ip)).forEach(world::start);
+            machines.stream().filter(ip -> !lost.contains(ip)).forEach(ip -> simulation.kill(ip, true));
+            machines.stream().filter(ip -> !lost.contains(ip)).forEach(simulation::start);
         }
-        if (world.readAnswers(READ_WITHIN) < 0) {
-            throw new StoreWorld.Broken("no read answers within 4 s after " + lost + " were lost");
+        if (simulation.readAnswers(READ_WITHIN) < 0) {
+            throw new StoreSimulation.Violation("no read answers within 4 s after " + lost + " were lost");
         }
-        lost.forEach(world::start);
-        world.calm(SYNC_TIME);
+        lost.forEach(simulation::start);
+        simulation.calm(SYNC_TIME);
     }
 
     /**
-     * A zone is lost for good after so many machines have stood in each; whether a read answers then.
+     * Checks that a read answers after a zone is lost for good.
      *
      * @param zones the zone of each machine; the first three are the members of the first start
      * @param lost the zone that is lost
      */
-    public static Result zoneLost(List<String> zones, String lost, long seed, Plant plant) {
+    public static Result zoneLost(List<String> zones, String lost, long seed, StoreDefect defect) {
         Map<String, Location> places = new HashMap<>();
         for (int i = 0; i < zones.size(); i++) {
             places.put("m" + (i + 1), new Location(zones.get(i), "r", true));
         }
-        StoreWorld world =
-                new StoreWorld(3, zones.size() - 3, new FaultTolerance(1, 1, 0), places, seed, plant).telling();
+        StoreSimulation simulation = new StoreSimulation(
+                        3, zones.size() - 3, new FaultTolerance(1, 1, 0), places, seed, defect)
+                .recordingEvents();
         try {
-            MembershipCheck check = new MembershipCheck(world, 1, new SplittableRandom(seed));
-            world.calm(SECOND);
-            check.machines.forEach(world::start);
-            world.calm(SYNC_TIME + 2 * SECOND);
+            MembershipCheck check = new MembershipCheck(simulation, 1, new SplittableRandom(seed));
+            simulation.calm(SECOND);
+            check.machines.forEach(simulation::start);
+            simulation.calm(SYNC_TIME + 2 * SECOND);
             check.put();
             for (int i = 0; i < zones.size(); i++) {
                 if (zones.get(i).equals(lost)) {
-                    world.remove("m" + (i + 1));
+                    simulation.remove("m" + (i + 1));
                 }
             }
-            if (world.readAnswers(READ_WITHIN) < 0) {
-                throw new StoreWorld.Broken("no read answers within 4 s after zone " + lost + " was lost");
+            if (simulation.readAnswers(READ_WITHIN) < 0) {
+                throw new StoreSimulation.Violation("no read answers within 4 s after zone " + lost + " was lost");
             }
-        } catch (StoreWorld.Broken e) {
-            return new Result(1, world.answered(), e.getMessage(), world.story());
+        } catch (StoreSimulation.Violation e) {
+            return new Result(1, simulation.answered(), e.getMessage(), simulation.eventLog());
         }
-        return new Result(1, world.answered(), null, List.of());
+        return new Result(1, simulation.answered(), null, List.of());
     }
 }
--- a/src/main/java/gorsemast/modelcheck/ModelDisk.java
+++ b/src/main/java/gorsemast/modelcheck/ModelDisk.java
@@ -10,52 +10,52 @@
 
 /**
  * The disk of one machine as its store uses it: the state and the version are records of their own, and a save of the
- * state alone leaves the version that was there. Saves end in their order; a stalled or full disk ends none. Of saves that
- * are under way when a process ends, a first part is there. One thread.
+ * state alone leaves the version that was there. Saves complete in order; a stalled or full disk completes none. Of the
+ * saves pending when a process ends, a prefix survives. Single-threaded.
  */
 final class ModelDisk {
-    private record Save(ReplicaState state, boolean keptToo, long token, Replica of) {}
+    private record Save(ReplicaState state, boolean withVersion, long token, Replica of) {}
 
     private final SplittableRandom random;
-    private final Plant plant;
+    private final StoreDefect defect;
     private final Deque<Save> saves = new ArrayDeque<>();
     private ReplicaState held;
     private ReplicaState earlier;
     private boolean stalled;
 
-    ModelDisk(SplittableRandom random, Plant plant) {
+    ModelDisk(SplittableRandom random, StoreDefect defect) {
         this.random = random;
-        this.plant = plant;
+        this.defect = defect;
     }
 
-    /** What a start finds; null for an empty disk. */
+    /** The stored state; null for an empty disk. */
     ReplicaState held() {
         return held;
     }
 
-    /** What an empty disk is given before its machine's first life. */
+    /** Initializes an empty disk before its machine's first start. */
     void begin(ReplicaState first) {
         held = first;
     }
 
-    /** From now on it ends no save, as one that is full or hangs; or ends them again. */
+    /** Stops completing saves, as a disk that is full or hangs, or resumes. */
     void stall(boolean does) {
         stalled = does;
     }
 
-    /** Takes a save, which ends later. */
-    void save(ReplicaState state, boolean keptToo, long token, Replica of) {
-        saves.add(new Save(state, keptToo, token, of));
+    /** Queues a save. */
+    void save(ReplicaState state, boolean withVersion, long token, Replica of) {
+        saves.add(new Save(state, withVersion, token, of));
     }
 
-    /** Ends one save. Returns whether there was one, and tells the replica that asked for it if it still runs. */
+    /** Completes one save and notifies its replica if it still runs. Returns whether there was one. */
     boolean sync(Replica running, long now) {
         if (saves.isEmpty() || stalled) {
             return false;
         }
         Save done = saves.poll();
         write(done);
-        if (running == done.of && plant != Plant.SAVED_TOO_EARLY) {
+        if (running == done.of && defect != StoreDefect.SAVED_TOO_EARLY) {
             running.saved(now, done.token);
         }
         return true;
@@ -63,15 +63,15 @@
 
     private void write(Save save) {
         earlier = held;
-        boolean keptToo = save.keptToo && plant != Plant.STATE_WITHOUT_VERSION;
-        held = with(save.state, keptToo || held == null ? save.state.stored() : held.stored());
+        boolean withVersion = save.withVersion && defect != StoreDefect.STATE_WITHOUT_VERSION;
+        held = with(save.state, withVersion || held == null ? save.state.stored() : held.stored());
     }
 
     private static ReplicaState with(ReplicaState state, StoredVersion kept) {
         return new ReplicaState(state.self(), state.promised(), state.view(), kept);
     }
 
-    /** The process ends: saves that it has not begun are gone, and power cuts the one that is under way. */
+    /** Ends the process: saves not started are lost, and a power loss tears the one in progress. */
     void end(boolean power) {
         while (!saves.isEmpty()) {
             Save next = saves.poll();
@@ -84,24 +84,24 @@
             write(next);
         }
         saves.clear();
-        if (power && plant == Plant.DISK_FORGETS_THE_LAST && earlier != null) {
+        if (power && defect == StoreDefect.DISK_FORGETS_THE_LAST && earlier != null) {
             held = earlier;
         }
-        if (power && plant == Plant.FOLDER_NOT_SYNCED && random.nextInt(4) == 0) {
+        if (power && defect == StoreDefect.FOLDER_NOT_SYNCED && random.nextInt(4) == 0) {
             held = null;
         }
     }
 
-    /** A save that power has cut: nothing of it counts, but where a torn record is taken for a whole one. */
+    /** A save torn by a power loss has no effect, except with the defect that accepts a torn record. */
     private void torn(Save save) {
-        if (plant == Plant.TORN_TAKEN_FOR_WHOLE && save.keptToo) {
+        if (defect == StoreDefect.TORN_TAKEN_FOR_WHOLE && save.withVersion) {
             StoredVersion kept = save.state.stored();
             byte[] half = Arrays.copyOf(kept.body(), kept.body().length / 2);
             held = with(save.state, new StoredVersion(kept.version(), kept.term(), half, kept.history()));
         }
     }
 
-    /** Nothing is left on it. */
+    /** Erases the disk. */
     void wipe() {
         held = null;
         earlier = null;
--- a/src/main/java/gorsemast/modelcheck/ModelLinks.java
+++ b/src/main/java/gorsemast/modelcheck/ModelLinks.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 
 /**
- * The links between members, by the names of their machines. Messages of one pair keep their order, as on a link, but a link
- * may break and lose what was on it, and one direction may be cut: its messages wait. One thread.
+ * The links between members, by their machines' names. Messages of one pair keep their order, as on a link, but a link
+ * may break and lose what was on it, and one direction may be cut: its messages wait. Single-threaded.
  */
 final class ModelLinks {
     private final Map<String, Deque<Message>> links = new HashMap<>();
     private final Set<String> cuts = new HashSet<>();
 
-    /** Puts a message on its way. */
+    /** Sends a message. */
     void send(String from, String to, Message message) {
         links.computeIfAbsent(pair(from, to), pair -> new ArrayDeque<>()).add(message);
     }
@@ -42,7 +42,7 @@
         links.keySet().removeIf(pair -> pair.startsWith(ip + ">") || pair.endsWith(">" + ip));
     }
 
-    /** Cuts one direction, or mends it. */
+    /** Cuts one direction, or restores it. */
     void cut(String from, String to, boolean does) {
         if (does) {
             cuts.add(pair(from, to));
@@ -61,7 +61,7 @@
         return cuts.isEmpty();
     }
 
-    /** Mends all cuts. */
+    /** Restores all cut directions. */
     void mend() {
         cuts.clear();
     }
--- a/src/main/java/gorsemast/modelcheck/ModelMachine.java
+++ b/src/main/java/gorsemast/modelcheck/ModelMachine.java
@@ -1,8 +1,8 @@
 package gorsemast.modelcheck;
 
 import gorsemast.configuration.ContentDigest;
-import gorsemast.modelcheck.OrderReferee.Asked;
-import gorsemast.modelcheck.OrderReferee.Order;
+import gorsemast.modelcheck.ConfigurationChecker.Call;
+import gorsemast.modelcheck.ConfigurationChecker.Update;
 import gorsemast.store.CallOutcome;
 import gorsemast.store.Location;
 import gorsemast.store.Member;
@@ -24,11 +24,11 @@
 import java.util.Map;
 
 /**
- * A machine of {@link StoreWorld}: a replica with its disk, across restarts, and the defects that a {@link Plant} puts between
- * the replica and its world. One thread.
+ * A machine of {@link StoreSimulation}: a replica with its disk, across restarts, and the defects that a {@link StoreDefect} injects
+ * between the replica and its environment. Single-threaded.
  */
 final class ModelMachine implements Replica.Output {
-    private final StoreMembers world;
+    private final StoreMembers simulation;
     final String ip;
     final ModelDisk disk;
     private final Map<Member, Append> inHand = new HashMap<>();
@@ -39,70 +39,77 @@
     boolean gone;
 
     /** A machine with an empty disk that does not run. */
-    ModelMachine(StoreMembers world, String ip) {
-        this.world = world;
+    ModelMachine(StoreMembers simulation, String ip) {
+        this.simulation = simulation;
         this.ip = ip;
-        this.disk = new ModelDisk(world.random, world.plant);
+        this.disk = new ModelDisk(simulation.random, simulation.defect);
     }
 
     /** The process starts with what its disk holds. */
     void start() {
         if (disk.held() == null) {
             disk.begin(new ReplicaState(
-                    new Member(ip + "#" + (world.plant == Plant.WIPED_KEEPS_ITS_NAME ? 0 : ++world.lives), ip),
+                    new Member(
+                            ip + "#"
+                                    + (simulation.defect == StoreDefect.WIPED_KEEPS_ITS_NAME
+                                            ? 0
+                                            : ++simulation.incarnations),
+                            ip),
                     0,
-                    world.plant == Plant.WIPED_KEEPS_ITS_NAME
-                            ? Replica.initialView(world.firstMembers)
+                    simulation.defect == StoreDefect.WIPED_KEEPS_ITS_NAME
+                            ? Replica.initialView(simulation.firstMembers)
                             : Replica.initialView(List.of()),
                     StoredVersion.NONE));
         }
         told = false;
-        world.links.breakTo(ip); // a link is of one life: nothing waits for the next
-        Location place =
-                world.plant == Plant.ZONES_UNKNOWN ? Location.UNKNOWN : world.places.getOrDefault(ip, Location.UNKNOWN);
-        replica = world.plant == Plant.WAITS_FOR_ANY_DISK
+        simulation.links.breakTo(ip); // a link belongs to one incarnation: no message waits for the next
+        Location place = simulation.defect == StoreDefect.ZONES_UNKNOWN
+                ? Location.UNKNOWN
+                : simulation.places.getOrDefault(ip, Location.UNKNOWN);
+        replica = simulation.defect == StoreDefect.WAITS_FOR_ANY_DISK
                 ? new Replica(
                         disk.held(),
-                        world.tolerance,
+                        simulation.tolerance,
                         place,
-                        world.random.nextLong(),
+                        simulation.random.nextLong(),
                         StoreMembers.LONG_MICROS * StoreMembers.LONG_MICROS,
                         this)
-                : new Replica(disk.held(), world.tolerance, place, world.random.nextLong(), this);
-        if (world.plant == Plant.WIPED_KEEPS_ITS_NAME && disk.held().self().id().endsWith("#0")) {
-            world.lives++;
+                : new Replica(disk.held(), simulation.tolerance, place, simulation.random.nextLong(), this);
+        if (simulation.defect == StoreDefect.WIPED_KEEPS_ITS_NAME
+                && disk.held().self().id().endsWith("#0")) {
+            simulation.incarnations++;
         }
     }
 
-    /** As a store tells its registry once after its start. */
-    void tellEarly() {
-        if (!told && (replica.mayServeStored() || world.plant == Plant.TELLS_WHAT_IT_HOLDS)) {
+    /** Advertises the stored version once after a start, as a store does to its registry. */
+    void advertiseEarly() {
+        if (!told && (replica.mayServeStored() || simulation.defect == StoreDefect.TELLS_WHAT_IT_HOLDS)) {
             told = true;
-            world.orders.tells(ip, replica.stored());
+            simulation.checker.checkAdvertised(ip, replica.stored());
         }
     }
 
     /** Whether this machine holds another content under the number. */
-    boolean refusesAtOnce(Order order) {
-        ContentDigest holds = replica.stored().history().digest(order.version());
-        return holds != null && !holds.equals(ContentDigest.of(order.body()));
+    boolean refusesAtOnce(Update update) {
+        ContentDigest holds = replica.stored().history().digest(update.version());
+        return holds != null && !holds.equals(ContentDigest.of(update.body()));
     }
 
-    /** The process ends; with the power, what its disk had in hand may be lost. */
+    /** The process ends; if power is lost, pending writes may be lost. */
     void kill(boolean power) {
         disk.end(power);
         replica = null;
         frozen = false;
         inHand.clear();
-        world.links.breakAll(ip);
+        simulation.links.breakAll(ip);
     }
 
-    /** The process runs on after it stood still. */
+    /** Resumes the process after a freeze. */
     void wake() {
         frozen = false;
-        if (world.plant == Plant.WAKES_AND_ACKNOWLEDGES && replica != null) {
+        if (simulation.defect == StoreDefect.WAKES_AND_ACKNOWLEDGES && replica != null) {
             inHand.forEach((to, append) -> forge(new AppendAck(to, append.term(), append.round())));
-            world.settle();
+            simulation.settle();
         }
     }
 
@@ -111,41 +118,43 @@
         if (to.ip().equals(ip)) {
             return;
         }
-        if (message instanceof Install install && untold(install, world.machines.get(to.ip()))) {
+        if (message instanceof Install install && untold(install, simulation.machines.get(to.ip()))) {
             forge(new InstallAck(to, install.term()));
             return;
         }
         if (message instanceof ViewChange change
-                && world.plant == Plant.CHANGES_OVERLAP
+                && simulation.defect == StoreDefect.CHANGES_OVERLAP
                 && change.view().members().stream().noneMatch(to::equals)) {
             return;
         }
-        if (message instanceof RequestVote request && world.plant == Plant.OUTSIDER_VOTES && outsider(to)) {
+        if (message instanceof RequestVote request && simulation.defect == StoreDefect.OUTSIDER_VOTES && outsider(to)) {
             forge(new Vote(to, request.term(), null));
         }
-        Message sent = world.spoiled.spoiled(message, world.lastAsked);
-        if (world.plant == Plant.JOINS_EMPTY && message instanceof Install install && holdsNothing(to)) {
+        Message sent = simulation.defectiveMessages.applyDefects(message, simulation.lastAsked);
+        if (simulation.defect == StoreDefect.JOINS_EMPTY && message instanceof Install install && holdsNothing(to)) {
             sent = new Install(install.from(), install.term(), install.view(), StoredVersion.NONE);
         }
         if (sent != null) {
-            world.links.send(ip, to.ip(), sent);
+            simulation.links.send(ip, to.ip(), sent);
         }
         if (message instanceof Append append) {
             inHand.put(to, append);
         }
-        boolean uncopied = world.plant == Plant.COPIED_WITHOUT_COPY || world.plant == Plant.NO_BACKUP;
+        boolean uncopied =
+                simulation.defect == StoreDefect.COPIED_WITHOUT_COPY || simulation.defect == StoreDefect.NO_BACKUP;
         if (message instanceof Append append && uncopied) {
             forge(new AppendAck(to, append.term(), append.round()));
         }
-        boolean unconfirmed = world.plant == Plant.CONFIRMED_BY_NOBODY || world.plant == Plant.NO_BACKUP;
+        boolean unconfirmed =
+                simulation.defect == StoreDefect.CONFIRMED_BY_NOBODY || simulation.defect == StoreDefect.NO_BACKUP;
         if (message instanceof Confirm confirm && unconfirmed) {
             forge(new ConfirmAck(to, confirm.term(), confirm.round()));
         }
     }
 
-    /** Whether a planted defect has it that this one is not told, and counts all the same. */
+    /** Whether an injected defect suppresses the message to this machine and counts it as acknowledged. */
     private boolean untold(Install install, ModelMachine to) {
-        return switch (world.plant) {
+        return switch (simulation.defect) {
             case NO_BACKUP -> true;
 
             case CHANGES_OVERLAP ->
@@ -156,14 +165,14 @@
     }
 
     private boolean holdsNothing(Member to) {
-        ReplicaState state = world.machines.get(to.ip()).disk.held();
+        ReplicaState state = simulation.machines.get(to.ip()).disk.held();
         return state != null && state.stored().version() == 0;
     }
 
-    /** Whether a machine that runs and is no member could speak for this one, which is down. */
+    /** Whether a running non-member could answer for this member, which is down. */
     private boolean outsider(Member silent) {
-        return world.machines.get(silent.ip()).replica == null
-                && world.machines.values().stream()
+        return simulation.machines.get(silent.ip()).replica == null
+                && simulation.machines.values().stream()
                         .anyMatch(one -> one.replica != null
                                 && !one.replica
                                         .view()
@@ -172,21 +181,21 @@
 
     private void forge(Message forged) {
         Replica mine = replica;
-        world.later.add(() -> {
+        simulation.later.add(() -> {
             if (replica == mine) {
-                mine.receive(world.now, forged);
+                mine.receive(simulation.now, forged);
             }
         });
     }
 
     @Override
-    public void save(ReplicaState state, boolean keptToo, long token) {
-        disk.save(state, keptToo, token, replica);
-        if (world.plant == Plant.SAVED_TOO_EARLY && replica != null) {
+    public void save(ReplicaState state, boolean withVersion, long token) {
+        disk.save(state, withVersion, token, replica);
+        if (simulation.defect == StoreDefect.SAVED_TOO_EARLY && replica != null) {
             Replica mine = replica;
-            world.later.add(() -> {
+            simulation.later.add(() -> {
                 if (replica == mine) {
-                    mine.saved(world.now, token);
+                    mine.saved(simulation.now, token);
                 }
             });
         }
@@ -194,43 +203,43 @@
 
     @Override
     public void complete(long call, CallOutcome outcome, StoredVersion kept) {
-        Asked asked = world.calls.remove(call);
-        if (asked != null) {
-            boolean hides = world.plant == Plant.CONFLICT_SAYS_DONE && outcome == CallOutcome.CONFLICT;
-            world.orders.answers(ip, asked, hides ? CallOutcome.DONE : outcome, kept);
+        Call request = simulation.calls.remove(call);
+        if (request != null) {
+            boolean hides = simulation.defect == StoreDefect.CONFLICT_SAYS_DONE && outcome == CallOutcome.CONFLICT;
+            simulation.checker.checkAnswer(ip, request, hides ? CallOutcome.DONE : outcome, kept);
         }
     }
 
     @Override
     public void committed(StoredVersion kept) {
-        world.orders.tells(ip, kept);
+        simulation.checker.checkAdvertised(ip, kept);
     }
 
     @Override
     public void forward(long call, Member primary) {
-        Asked asked = world.calls.get(call);
-        ModelMachine to = world.machines.get(primary.ip());
-        if (asked != null
+        Call request = simulation.calls.get(call);
+        ModelMachine to = simulation.machines.get(primary.ip());
+        if (request != null
                 && to != null
                 && to.replica != null
                 && !to.frozen
-                && world.hops.merge(call, 1, Integer::sum) < 4
-                && !world.links.isCut(ip, to.ip)
-                && !world.links.isCut(to.ip, ip)) {
-            world.later.add(() -> {
+                && simulation.hops.merge(call, 1, Integer::sum) < 4
+                && !simulation.links.isCut(ip, to.ip)
+                && !simulation.links.isCut(to.ip, ip)) {
+            simulation.later.add(() -> {
                 if (to.replica != null) {
-                    world.enter(to, call, asked);
+                    simulation.enter(to, call, request);
                 }
             });
         } else {
-            world.calls.remove(call);
+            simulation.calls.remove(call);
         }
     }
 
     @Override
     public void log(String sentence) {
-        if (world.story != null) {
-            world.story.add(world.now / 1_000 + " " + ip + " " + sentence);
+        if (simulation.eventLog != null) {
+            simulation.eventLog.add(simulation.now / 1_000 + " " + ip + " " + sentence);
         }
     }
 }
--- a/src/main/java/gorsemast/modelcheck/RegistryCheck.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryCheck.java
@@ -6,125 +6,126 @@
 import java.util.function.Consumer;
 
 /**
- * Courses of a {@link RegistryWorld}: drawn ones from a seed, and all rows of so many events, each played from its
- * beginning and brought to its end.
+ * Checks scenarios of a {@link RegistrySimulation}: random ones from a seed, and all sequences of a number of events, each run
+ * from the start to recovery.
  */
 public final class RegistryCheck {
     private static final long STEP_MICROS = 700_000;
     private static final long LONG_MICROS = 2_700_000;
     private static final long CALM_MICROS = 4_500_000;
 
-    /** What was found: null for nothing, else what was broken, and how. */
-    public record Result(long courses, long acknowledged, String broken, List<String> story) {}
+    /** The result; {@code violation} is null if none was found. */
+    public record Result(long scenarios, long acknowledged, String violation, List<String> eventLog) {}
 
     private RegistryCheck() {}
 
-    private static List<Consumer<RegistryWorld>> events() {
-        List<Consumer<RegistryWorld>> events = new ArrayList<>();
-        events.add(world -> world.order("m1"));
-        events.add(world -> world.order("m2"));
-        events.add(world -> world.order("m4"));
-        events.add(RegistryWorld::configure);
-        events.add(world -> world.orderThenPower("m2", null));
-        events.add(world -> world.orderThenPower("m2", "m1"));
-        events.add(RegistryWorld::powerAll);
-        events.add(world -> world.cut("m1", true));
-        events.add(world -> world.cut("m1", false));
-        events.add(world -> world.freeze("m1"));
-        events.add(world -> world.wake("m1"));
-        events.add(world -> world.lose("m1", true));
-        events.add(world -> world.lose("m2", true));
-        events.add(world -> world.lose("m1", false));
-        events.add(world -> world.stall("m1", true));
-        events.add(world -> world.stall("m1", false));
-        events.add(world -> world.replace("m1"));
-        events.add(world -> world.calm(LONG_MICROS));
-        events.add(world -> world.calm(CALM_MICROS));
+    private static List<Consumer<RegistrySimulation>> events() {
+        List<Consumer<RegistrySimulation>> events = new ArrayList<>();
+        events.add(simulation -> simulation.purge("m1"));
+        events.add(simulation -> simulation.purge("m2"));
+        events.add(simulation -> simulation.purge("m4"));
+        events.add(RegistrySimulation::configure);
+        events.add(simulation -> simulation.purgeThenPowerLoss("m2", null));
+        events.add(simulation -> simulation.purgeThenPowerLoss("m2", "m1"));
+        events.add(RegistrySimulation::powerAll);
+        events.add(simulation -> simulation.cut("m1", true));
+        events.add(simulation -> simulation.cut("m1", false));
+        events.add(simulation -> simulation.freeze("m1"));
+        events.add(simulation -> simulation.wake("m1"));
+        events.add(simulation -> simulation.lose("m1", true));
+        events.add(simulation -> simulation.lose("m2", true));
+        events.add(simulation -> simulation.lose("m1", false));
+        events.add(simulation -> simulation.stall("m1", true));
+        events.add(simulation -> simulation.stall("m1", false));
+        events.add(simulation -> simulation.replace("m1"));
+        events.add(simulation -> simulation.calm(LONG_MICROS));
+        events.add(simulation -> simulation.calm(CALM_MICROS));
         return events;
     }
 
-    /** All rows of so many events. */
-    public static Result all(int depth, RegistryPlant plant) {
-        List<Consumer<RegistryWorld>> events = events();
-        long rows = Math.round(Math.pow(events.size(), depth));
+    /** Runs all sequences of {@code depth} events. */
+    public static Result exhaustive(int depth, RegistryDefect defect) {
+        List<Consumer<RegistrySimulation>> events = events();
+        long sequences = Math.round(Math.pow(events.size(), depth));
         long acknowledged = 0;
-        for (long row = 0; row < rows; row++) {
-            RegistryWorld world = new RegistryWorld(row, plant);
+        for (long sequence = 0; sequence < sequences; sequence++) {
+            RegistrySimulation simulation = new RegistrySimulation(sequence, defect);
             try {
-                world.calm(CALM_MICROS);
-                long rest = row;
+                simulation.calm(CALM_MICROS);
+                long rest = sequence;
                 for (int i = 0; i < depth; i++) {
-                    events.get((int) (rest % events.size())).accept(world);
-                    world.calm(STEP_MICROS);
+                    events.get((int) (rest % events.size())).accept(simulation);
+                    simulation.calm(STEP_MICROS);
                     rest /= events.size();
                 }
-                world.calm(LONG_MICROS);
-                world.heal();
-            } catch (RegistryWorld.Broken e) {
-                return new Result(row + 1, acknowledged, e.getMessage(), world.story());
+                simulation.calm(LONG_MICROS);
+                simulation.heal();
+            } catch (RegistrySimulation.Violation e) {
+                return new Result(sequence + 1, acknowledged, e.getMessage(), simulation.eventLog());
             }
-            acknowledged += world.acknowledged();
+            acknowledged += simulation.acknowledged();
         }
-        return new Result(rows, acknowledged, null, List.of());
+        return new Result(sequences, acknowledged, null, List.of());
     }
 
-    /** Drawn courses of so many events each, any machine struck. */
-    public static Result drawn(long seed, int courses, int length, RegistryPlant plant) {
+    /** Runs random scenarios of {@code length} events each, with faults on any machine. */
+    public static Result random(long seed, int scenarios, int length, RegistryDefect defect) {
         SplittableRandom seeds = new SplittableRandom(seed);
         long acknowledged = 0;
-        for (int c = 0; c < courses; c++) {
+        for (int c = 0; c < scenarios; c++) {
             SplittableRandom random = seeds.split();
-            RegistryWorld world = new RegistryWorld(random.nextLong(), plant);
+            RegistrySimulation simulation = new RegistrySimulation(random.nextLong(), defect);
             try {
-                world.calm(CALM_MICROS);
+                simulation.calm(CALM_MICROS);
                 for (int i = 0; i < length; i++) {
-                    event(world, random);
-                    world.calm(random.nextInt(4) == 0 ? random.nextLong(CALM_MICROS) : random.nextLong(STEP_MICROS));
+                    event(simulation, random);
+                    simulation.calm(
+                            random.nextInt(4) == 0 ? random.nextLong(CALM_MICROS) : random.nextLong(STEP_MICROS));
                 }
-                world.heal();
-            } catch (RegistryWorld.Broken e) {
-                return new Result(c + 1, acknowledged, e.getMessage(), world.story());
+                simulation.heal();
+            } catch (RegistrySimulation.Violation e) {
+                return new Result(c + 1, acknowledged, e.getMessage(), simulation.eventLog());
             }
-            acknowledged += world.acknowledged();
+            acknowledged += simulation.acknowledged();
         }
-        return new Result(courses, acknowledged, null, List.of());
+        return new Result(scenarios, acknowledged, null, List.of());
     }
 
-    private static void event(RegistryWorld world, SplittableRandom random) {
+    private static void event(RegistrySimulation simulation, SplittableRandom random) {
         String any = "m" + (1 + random.nextInt(4));
         switch (random.nextInt(18)) {
-            case 0 -> world.cut(any, true);
-            case 1 -> world.freeze(any);
-            case 2 -> world.lose(any, true);
-            case 3 -> world.lose(any, false);
-            case 4 -> world.stall(any, true);
-            case 5 -> world.powerAll();
-            case 6 -> world.orderThenPower(any, null);
+            case 0 -> simulation.cut(any, true);
+            case 1 -> simulation.freeze(any);
+            case 2 -> simulation.lose(any, true);
+            case 3 -> simulation.lose(any, false);
+            case 4 -> simulation.stall(any, true);
+            case 5 -> simulation.powerAll();
+            case 6 -> simulation.purgeThenPowerLoss(any, null);
             case 11 -> {
-                well(world);
-                world.calm(CALM_MICROS);
-                world.orderThenPower(any, random.nextBoolean() ? null : "m" + (1 + random.nextInt(4)));
+                removeFaults(simulation);
+                simulation.calm(CALM_MICROS);
+                simulation.purgeThenPowerLoss(any, random.nextBoolean() ? null : "m" + (1 + random.nextInt(4)));
             }
             case 12 -> {
-                world.freeze(any);
-                world.calm(random.nextLong(CALM_MICROS));
-                world.order("m" + (1 + random.nextInt(4)));
-                world.configure();
-                world.calm(random.nextLong(CALM_MICROS));
-                world.wake(any);
+                simulation.freeze(any);
+                simulation.calm(random.nextLong(CALM_MICROS));
+                simulation.purge("m" + (1 + random.nextInt(4)));
+                simulation.configure();
+                simulation.calm(random.nextLong(CALM_MICROS));
+                simulation.wake(any);
             }
-            case 7 -> world.configure();
-            case 8 -> world.replace(any);
-            case 9, 10 -> well(world);
-            default -> world.order(any);
+            case 7 -> simulation.configure();
+            case 8 -> simulation.replace(any);
+            case 9, 10 -> removeFaults(simulation);
+            default -> simulation.purge(any);
         }
     }
 
-    private static void well(RegistryWorld world) {
+    private static void removeFaults(RegistrySimulation simulation) {
         for (int i = 1; i <= 4; i++) {
-            world.cut("m" + i, false);
-            world.wake("m" + i);
-            world.stall("m" + i, false);
+            simulation.cut("m" + i, false);
+            simulation.wake("m" + i);
+            simulation.stall("m" + i, false);
         }
     }
 }
--- a/src/main/java/gorsemast/modelcheck/RegistryPlant.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryDefect.java
@@ -1,16 +1,16 @@
 package gorsemast.modelcheck;
 
-/** Defects that can be planted between registries' decisions and their world, to see that the check finds each. */
-public enum RegistryPlant {
+/** Defects that can be injected between the registries' decision code and its environment to verify that the check detects each. */
+public enum RegistryDefect {
     /** None. */
     NONE,
-    /** A registry that reaches nobody is answered all the same: its lease never lapses. */
+    /** An isolated registry is answered all the same: its lease never expires. */
     LEASE_NEVER_LAPSES,
-    /** A lease counts from when the answer came. */
+    /** A lease starts when the answer arrives, not when the request was sent. */
     LEASE_FROM_ARRIVAL,
     /** A record counts as synced when it is handed to the disk. */
     HELD_BEFORE_SYNC,
-    /** Who counts are the machines that are reached now. */
+    /** Only the currently reachable machines count as members. */
     MEMBERS_BELIEVED_UP,
     /** A disk that comes back empty counts as complete. */
     EMPTY_DISK_COMPLETE,
@@ -18,6 +18,6 @@
     JOURNAL_EMPTIED_TOO_EARLY,
     /** The journal is not read after a start. */
     JOURNAL_NOT_READ,
-    /** A registry says that nothing differs, whatever does. */
+    /** A registry reports no differences, whatever differs. */
     NOTHING_DIFFERS
 }
--- a/src/main/java/gorsemast/modelcheck/Way.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryLink.java
@@ -1,6 +1,6 @@
 package gorsemast.modelcheck;
 
-import gorsemast.modelcheck.RegistryWorld.Broken;
+import gorsemast.modelcheck.RegistrySimulation.Violation;
 import gorsemast.peer.Neighbour;
 import gorsemast.peer.PeerMessage;
 import gorsemast.peer.PeerMessage.Program;
@@ -14,17 +14,17 @@
 
 /**
  * One direction of a link between two registries: records arrive in order, wait behind a cut, and are lost when that
- * breaks the link. They cross it as bytes, as each side has a clock of its own. One thread.
+ * breaks the link. They are encoded as bytes, as each side has its own clock. Single-threaded.
  */
-final class Way implements Neighbour {
-    private final RegistryWorld world;
+final class RegistryLink implements Neighbour {
+    private final RegistrySimulation simulation;
     private final RegistryMachine from;
     private final RegistryMachine to;
     private final Deque<byte[]> sent = new ArrayDeque<>();
     private boolean up;
 
-    Way(RegistryWorld world, RegistryMachine from, RegistryMachine to) {
-        this.world = world;
+    RegistryLink(RegistrySimulation simulation, RegistryMachine from, RegistryMachine to) {
+        this.simulation = simulation;
         this.from = from;
         this.to = to;
     }
@@ -40,7 +40,7 @@
     }
 
     /** The link comes up. */
-    void comesUp() {
+    void setUp() {
         up = true;
     }
 
@@ -50,31 +50,33 @@
         sent.clear();
     }
 
-    /** After a cut: each record that waited arrives after a drawn time. */
+    /** After a cut: each waiting record arrives after a random time. */
     void drain() {
         for (int i = sent.size(); i > 0; i--) {
-            world.later(world.way(), this::arrive);
+            simulation.later(simulation.latency(), this::arrive);
         }
     }
 
     @Override
     public PeerMessage.Hello hello() {
-        return new PeerMessage.Hello(Program.REGISTRY, to.ip, "z", to.ip + ":80", to.life);
+        return new PeerMessage.Hello(Program.REGISTRY, to.ip, "z", to.ip + ":80", to.incarnation);
     }
 
     @Override
     public void send(PeerMessage record) {
         if (up) {
             sent.add(bytes(record, from.now()));
-            world.later(world.way(), this::arrive);
+            simulation.later(simulation.latency(), this::arrive);
         }
     }
 
     private void arrive() {
         if (!sent.isEmpty() && up && !from.cut && !to.cut && to.node != null) {
             byte[] next = sent.poll();
-            // What has arrived is read, though the link may have broken since.
-            to.run(to.life, () -> to.node.received(to.ways.get(from.ip), spoiled(record(next, to.now()))));
+            // An arrived record is processed even if the link has broken since.
+            to.run(
+                    to.incarnation,
+                    () -> to.node.received(to.peerLinks.get(from.ip), applyDefect(record(next, to.now()))));
         }
     }
 
@@ -83,7 +85,7 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             record.write(out, now);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // memory does not fail
+            throw new IllegalStateException(e); // in-memory streams do not fail
         }
         return bytes.toByteArray();
     }
@@ -92,14 +94,14 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return PeerMessage.read(in, now);
         } catch (IOException e) {
-            throw new Broken("a record can't be read: " + e.getMessage());
+            throw new Violation("record cannot be decoded: " + e.getMessage());
         }
     }
 
-    private PeerMessage spoiled(PeerMessage record) {
+    private PeerMessage applyDefect(PeerMessage record) {
         if (record instanceof PeerMessage.CompareResponse answer) {
-            long at = world.plant() == RegistryPlant.LEASE_FROM_ARRIVAL ? to.now() : answer.sentAt();
-            int parts = world.plant() == RegistryPlant.NOTHING_DIFFERS ? 0 : answer.buckets();
+            long at = simulation.defect() == RegistryDefect.LEASE_FROM_ARRIVAL ? to.now() : answer.sentAt();
+            int parts = simulation.defect() == RegistryDefect.NOTHING_DIFFERS ? 0 : answer.buckets();
             return new PeerMessage.CompareResponse(at, answer.term(), answer.complete(), parts);
         }
         return record;
--- a/src/main/java/gorsemast/modelcheck/RegistryMachine.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryMachine.java
@@ -16,25 +16,25 @@
 import java.util.function.Consumer;
 
 /**
- * A machine of {@link RegistryWorld}: a registry's decisions with its disk, its clock and its links, across restarts.
- * Writes of its disk end in order, each after a drawn time. One thread; times in microseconds.
+ * A machine of {@link RegistrySimulation}: a registry with its disk, its clock and its links, across restarts.
+ * Disk writes complete in order, each after a random time. Single-threaded; times in microseconds.
  */
 final class RegistryMachine implements Neighbours, RegistryNode.Environment {
     private static final long BROKEN_MICROS = 1_800_000;
     private static final long SYNC_MICROS = 8_000;
     private static final long SNAPSHOT_MICROS = 250_000;
 
-    private final RegistryWorld world;
+    private final RegistrySimulation simulation;
     final String ip;
     private byte[] snapshot;
     private final List<byte[]> journal = new ArrayList<>();
     private final Deque<Runnable> writes = new ArrayDeque<>();
     private int written;
     private int synced;
-    final Map<String, Way> ways = new LinkedHashMap<>();
-    private final Deque<Runnable> asleep = new ArrayDeque<>();
+    final Map<String, RegistryLink> peerLinks = new LinkedHashMap<>();
+    private final Deque<Runnable> deferredTasks = new ArrayDeque<>();
     RegistryNode node;
-    int life;
+    int incarnation;
     private long origin;
     long beganAt;
     private long lastAsk;
@@ -45,32 +45,32 @@
     long calmSince;
     private long diskFree;
 
-    RegistryMachine(RegistryWorld world, String ip) {
-        this.world = world;
+    RegistryMachine(RegistrySimulation simulation, String ip) {
+        this.simulation = simulation;
         this.ip = ip;
     }
 
-    /** Whether the machine runs and is reached by others. */
+    /** Whether the machine runs and is reachable. */
     boolean reached() {
         return node != null && !frozen && !cut;
     }
 
-    /** Runs a task of this life of the process; one that stands still does it when it wakes. */
-    void run(int ofLife, Runnable task) {
-        if (node == null || life != ofLife) {
+    /** Runs a task of the given process incarnation; a frozen process runs it when it resumes. */
+    void run(int ofIncarnation, Runnable task) {
+        if (node == null || incarnation != ofIncarnation) {
             return;
         }
         if (frozen) {
-            asleep.add(task);
+            deferredTasks.add(task);
         } else {
             task.run();
-            world.judge(this);
+            simulation.check(this);
         }
     }
 
     /** The process's own clock. */
     long now() {
-        return world.now() - origin;
+        return simulation.now() - origin;
     }
 
     @Override
@@ -78,14 +78,14 @@
         List<Neighbour> up = new ArrayList<>();
         if (node != null) {
             up.add(store());
-            ways.values().stream().filter(Way::isUp).forEach(up::add);
+            peerLinks.values().stream().filter(RegistryLink::isUp).forEach(up::add);
         }
         return up;
     }
 
     /** The link to the store on the same machine. */
     Neighbour store() {
-        int mine = life;
+        int mine = incarnation;
         return new Neighbour() {
             @Override
             public PeerMessage.Hello hello() {
@@ -96,8 +96,9 @@
             public void send(PeerMessage record) {
                 if (record instanceof PeerMessage.Get get) {
                     lastAsk = get.callId();
-                    schedule(world.way(), () -> world.store()
-                            .answers(RegistryMachine.this, mine, get.callId(), get.knownVersion()));
+                    schedule(simulation.latency(), () -> simulation
+                            .store()
+                            .answerRead(RegistryMachine.this, mine, get.callId(), get.knownVersion()));
                 }
             }
         };
@@ -105,15 +106,15 @@
 
     @Override
     public void schedule(long micros, Runnable task) {
-        int mine = life;
-        world.later(micros, () -> run(mine, task));
+        int mine = incarnation;
+        simulation.later(micros, () -> run(mine, task));
     }
 
     @Override
     public void writeSnapshot(byte[] record, Consumer<Boolean> done) {
-        int mine = life;
+        int mine = incarnation;
         int holds = written;
-        if (world.plant() == RegistryPlant.JOURNAL_EMPTIED_TOO_EARLY) {
+        if (simulation.defect() == RegistryDefect.JOURNAL_EMPTIED_TOO_EARLY) {
             write(SYNC_MICROS, journal::clear);
         }
         write(SNAPSHOT_MICROS, () -> {
@@ -127,9 +128,9 @@
 
     @Override
     public void append(byte[] record, Runnable done) {
-        int mine = life;
+        int mine = incarnation;
         written++;
-        if (world.plant() == RegistryPlant.HELD_BEFORE_SYNC) {
+        if (simulation.defect() == RegistryDefect.HELD_BEFORE_SYNC) {
             done.run();
         }
         write(SYNC_MICROS, () -> {
@@ -139,13 +140,14 @@
         });
     }
 
-    /** One after the other, each taking up to so long. */
+    /** Performs writes in order, each taking up to {@code most}. */
     private void write(long most, Runnable what) {
         writes.add(what);
-        diskFree = Math.max(diskFree, world.now()) + 500 + world.random().nextLong(most);
-        int mine = life;
-        world.later(diskFree - world.now(), () -> {
-            if (life == mine) {
+        diskFree =
+                Math.max(diskFree, simulation.now()) + 500 + simulation.random().nextLong(most);
+        int mine = incarnation;
+        simulation.later(diskFree - simulation.now(), () -> {
+            if (incarnation == mine) {
                 finishWrite();
             }
         });
@@ -159,58 +161,59 @@
 
     /** The process starts with what its disk holds. */
     void begin(boolean firstBoot) {
-        life++;
-        beganAt = world.now();
-        origin = world.now() - 1_000_000 - world.random().nextLong(3_000_000);
+        incarnation++;
+        beganAt = simulation.now();
+        origin = simulation.now() - 1_000_000 - simulation.random().nextLong(3_000_000);
         node = new RegistryNode(
-                new RegistryNode.Parameters(ip, "z", ip + ":80", life, 1_000_000, 1, firstBoot),
+                new RegistryNode.Parameters(ip, "z", ip + ":80", incarnation, 1_000_000, 1, firstBoot),
                 new LinkedHashSet<>(List.of("m1", "m2", "m3")),
                 true,
-                world.random().nextLong(),
+                simulation.random().nextLong(),
                 this::now,
                 this,
                 this);
-        node.restore(snapshot, world.plant() == RegistryPlant.JOURNAL_NOT_READ ? List.of() : List.copyOf(journal));
+        node.restore(
+                snapshot, simulation.defect() == RegistryDefect.JOURNAL_NOT_READ ? List.of() : List.copyOf(journal));
         node.connected(store());
-        int mine = life;
+        int mine = incarnation;
         tick(mine);
-        world.store().tells(this);
+        simulation.store().sendMembers(this);
     }
 
-    private void tick(int ofLife) {
-        run(ofLife, () -> {
+    private void tick(int ofIncarnation) {
+        run(ofIncarnation, () -> {
             links();
-            world.store().tells(this);
+            simulation.store().sendMembers(this);
             node.tick();
-            if (world.plant() == RegistryPlant.LEASE_NEVER_LAPSES && world.now() > 12_000_000) {
-                ways.values().stream()
-                        .filter(way -> way.to().node != null)
-                        .forEach(way -> node.received(
-                                way,
+            if (simulation.defect() == RegistryDefect.LEASE_NEVER_LAPSES && simulation.now() > 12_000_000) {
+                peerLinks.values().stream()
+                        .filter(link -> link.to().node != null)
+                        .forEach(link -> node.received(
+                                link,
                                 new PeerMessage.CompareResponse(
                                         now(), node.membership().term(), true, 0)));
-                node.received(store(), StandInStore.answer(lastAsk, true, 0, null));
+                node.received(store(), StoreStub.answer(lastAsk, true, 0, null));
             }
         });
-        if (life == ofLife && node != null) {
-            world.later(RegistryNode.TICK_MICROS, () -> tick(ofLife));
+        if (incarnation == ofIncarnation && node != null) {
+            simulation.later(RegistryNode.TICK_MICROS, () -> tick(ofIncarnation));
         }
     }
 
-    /** Links come up where both can be reached, and break behind a long cut. */
+    /** Links come up if both sides are reachable, and break after a long cut. */
     private void links() {
-        for (Way way : ways.values()) {
-            Way back = way.to().ways.get(ip);
-            boolean apart = cut || way.to().cut || way.to().frozen;
-            if (way.to().node == null
-                    || apart && world.now() - Math.max(awaySince, way.to().awaySince) > BROKEN_MICROS) {
-                way.drop();
+        for (RegistryLink link : peerLinks.values()) {
+            RegistryLink back = link.to().peerLinks.get(ip);
+            boolean apart = cut || link.to().cut || link.to().frozen;
+            if (link.to().node == null
+                    || apart && simulation.now() - Math.max(awaySince, link.to().awaySince) > BROKEN_MICROS) {
+                link.drop();
                 back.drop();
-            } else if (!way.isUp() && !apart) {
-                way.comesUp();
-                back.comesUp();
-                way.to().run(way.to().life, () -> way.to().node.connected(back));
-                node.connected(way);
+            } else if (!link.isUp() && !apart) {
+                link.setUp();
+                back.setUp();
+                link.to().run(link.to().incarnation, () -> link.to().node.connected(back));
+                node.connected(link);
             }
         }
     }
@@ -219,12 +222,12 @@
     void end(boolean power) {
         node = null;
         frozen = false;
-        asleep.clear();
-        ways.values().forEach(way -> {
-            way.drop();
-            way.to().ways.get(ip).drop();
+        deferredTasks.clear();
+        peerLinks.values().forEach(link -> {
+            link.drop();
+            link.to().peerLinks.get(ip).drop();
         });
-        while (!writes.isEmpty() && !(power && world.random().nextBoolean())) {
+        while (!writes.isEmpty() && !(power && simulation.random().nextBoolean())) {
             writes.poll().run();
         }
         writes.clear();
@@ -234,20 +237,20 @@
 
     /** From now on the machine counts as away. */
     void away() {
-        awaySince = world.now();
+        awaySince = simulation.now();
         calmSince = Long.MAX_VALUE / 2;
     }
 
-    /** From now on it counts as well again, where it is reached. */
+    /** From now on it counts as healthy again, if it is reachable. */
     void back() {
         if (node != null && !frozen && !cut) {
-            calmSince = world.now();
+            calmSince = simulation.now();
         }
     }
 
     /** The disk is lost. */
     void wipe() {
-        snapshot = world.plant() == RegistryPlant.EMPTY_DISK_COMPLETE ? emptyButComplete() : null;
+        snapshot = simulation.defect() == RegistryDefect.EMPTY_DISK_COMPLETE ? emptyButComplete() : null;
         journal.clear();
     }
 
@@ -268,19 +271,19 @@
         }
     }
 
-    /** The process runs on after it stood still, and does first what was due meanwhile. */
+    /** Resumes a frozen process, which first runs what fell due meanwhile. */
     void wake() {
         frozen = false;
         back();
-        world.judge(this);
-        for (int i = asleep.size(); i > 0 && node != null; i--) {
-            asleep.poll().run();
-            world.judge(this);
+        simulation.check(this);
+        for (int i = deferredTasks.size(); i > 0 && node != null; i--) {
+            deferredTasks.poll().run();
+            simulation.check(this);
         }
     }
 
     private static byte[] emptyButComplete() {
-        byte[] nothing = Way.bytes(new PeerMessage.Updates(0, List.of()), 0);
+        byte[] nothing = RegistryLink.bytes(new PeerMessage.Updates(0, List.of()), 0);
         byte[] snapshot = new byte[nothing.length + 2];
         snapshot[0] = 2;
         snapshot[1] = 1;
--- a/src/main/java/gorsemast/modelcheck/RegistryWorld.java
+++ b/src/main/java/gorsemast/modelcheck/RegistrySimulation.java
@@ -11,81 +11,83 @@
 import java.util.SplittableRandom;
 
 /**
- * Registries' decisions among links, disks, clocks and a store that can each fail, and a judge: whoever vouches knows all
- * that was acknowledged {@link #KNOWN_MICROS} ago, or before its process began. The machines are {@link RegistryMachine}s,
- * the links {@link Way}s, the store is a {@link StandInStore}. One thread; times in microseconds.
+ * Simulates registries with links, disks, clocks and a store that can each fail, and checks that whoever confirms its state
+ * under a lease knows all that was acknowledged {@link #KNOWN_MICROS} ago, or before its process began. The machines are {@link RegistryMachine}s,
+ * the links {@link Path}s, the store is a {@link StoreStub}. Single-threaded; times in microseconds.
  */
-final class RegistryWorld {
-    /** What was acknowledged so long ago is known to whoever vouches. */
+final class RegistrySimulation {
+    /** Changes acknowledged this long ago must be known to every synced registry. */
     static final long KNOWN_MICROS = 2_000_000;
 
     private static final long GONE_MICROS = 2_500_000;
     private static final long SYNC_TIME = 4_000_000;
     private static final long WAY_MICROS = 30_000;
 
-    /** What was promised is not kept. */
-    static final class Broken extends RuntimeException {
+    /** A violated guarantee. */
+    static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Broken(String text) {
+        Violation(String text) {
             super(text);
         }
     }
 
     private record Event(long at, long number, Runnable what) {}
 
-    private record Acked(long at, Kind kind, String key, long stamp) {}
+    private record AcknowledgedChange(long at, Kind kind, String key, long stamp) {}
 
-    private final RegistryPlant plant;
+    private final RegistryDefect defect;
     private final SplittableRandom random;
     private final Map<String, RegistryMachine> machines = new LinkedHashMap<>();
-    private final StandInStore store;
+    private final StoreStub store;
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-    private final List<Acked> acked = new ArrayList<>();
-    private final List<String> story = new ArrayList<>();
+    private final List<AcknowledgedChange> acknowledgedChanges = new ArrayList<>();
+    private final List<String> eventLog = new ArrayList<>();
     private long now = 10_000_000;
     private long number;
-    private int orders;
+    private int purgeCount;
     private Runnable atAck;
 
-    /** Three members and a spare, started together with empty disks. */
-    RegistryWorld(long seed, RegistryPlant plant) {
-        this.plant = plant;
-        this.store = new StandInStore(plant, machines, List.of("m1", "m2", "m3"));
+    /** Starts three members and a spare together with empty disks. */
+    RegistrySimulation(long seed, RegistryDefect defect) {
+        this.defect = defect;
+        this.store = new StoreStub(defect, machines, List.of("m1", "m2", "m3"));
         this.random = new SplittableRandom(seed);
         for (String ip : List.of("m1", "m2", "m3", "m4")) {
             machines.put(ip, new RegistryMachine(this, ip));
         }
         for (RegistryMachine a : machines.values()) {
-            machines.values().stream().filter(b -> a != b).forEach(b -> a.ways.put(b.ip, new Way(this, a, b)));
+            machines.values().stream()
+                    .filter(b -> a != b)
+                    .forEach(b -> a.peerLinks.put(b.ip, new RegistryLink(this, a, b)));
         }
         machines.values().forEach(machine -> machine.begin(true));
         calm(3_000_000);
     }
 
-    /** What happened, one sentence each. */
-    List<String> story() {
-        return story;
+    /** The events, one sentence each. */
+    List<String> eventLog() {
+        return eventLog;
     }
 
     /** How many changes were acknowledged. */
     int acknowledged() {
-        return acked.size();
+        return acknowledgedChanges.size();
     }
 
-    /** The defect that is planted. */
-    RegistryPlant plant() {
-        return plant;
+    /** The injected defect. */
+    RegistryDefect defect() {
+        return defect;
     }
 
-    /** The source of all draws of this course. */
+    /** The source of all random draws of this run. */
     SplittableRandom random() {
         return random;
     }
 
-    /** What stands in for the store. */
-    StandInStore store() {
+    /** The stub of the store. */
+    StoreStub store() {
         return store;
     }
 
@@ -94,30 +96,30 @@
         return now;
     }
 
-    /** A drawn time that a record is on its way. */
-    long way() {
+    /** A random latency of a record. */
+    long latency() {
         return 500 + random.nextLong(WAY_MICROS);
     }
 
-    /** Does something after so long. */
+    /** Runs a task after a delay. */
     void later(long micros, Runnable what) {
         events.add(new Event(now + micros, ++number, what));
     }
 
-    /** An operator's order, sent to a registry that runs. */
-    void order(String ip) {
+    /** Sends an operator's purge to a registry if it runs. */
+    void purge(String ip) {
         RegistryMachine machine = machines.get(ip);
         if (machine.node == null || machine.frozen) {
             return;
         }
-        String tag = "o" + ++orders;
-        say(ip + " is sent " + tag);
+        String tag = "o" + ++purgeCount;
+        logEvent(ip + " is sent " + tag);
         machine.node.execute(new Command.Purge("", "", tag), 10, (status, text, body) -> {
-            say(tag + " ends with " + status);
+            logEvent(tag + " ends with " + status);
             if (status == 200) {
                 for (Entry item : machine.node.state().all(Kind.PURGE)) {
                     if (new String(item.body(), java.nio.charset.StandardCharsets.UTF_8).endsWith(tag)) {
-                        acked.add(new Acked(now, Kind.PURGE, item.key(), item.stamp()));
+                        acknowledgedChanges.add(new AcknowledgedChange(now, Kind.PURGE, item.key(), item.stamp()));
                     }
                 }
                 if (atAck != null) {
@@ -128,85 +130,87 @@
         });
     }
 
-    /** The store acknowledges a version, where a majority of the view is there. */
+    /** The store acknowledges a version if a majority of the view is reachable. */
     void configure() {
         long acknowledged = store.acknowledge();
         if (acknowledged > 0) {
-            acked.add(new Acked(now, Kind.CONFIGURATION, "", acknowledged));
+            acknowledgedChanges.add(new AcknowledgedChange(now, Kind.CONFIGURATION, "", acknowledged));
         }
     }
 
-    /** Power is lost everywhere at the next acknowledgement or soon after it, and one machine's disk where that may be. */
-    void orderThenPower(String ip, String disk) {
+    /** Power is lost everywhere at the next acknowledgement or soon after it, and one machine's disk if that is allowed. */
+    void purgeThenPowerLoss(String ip, String disk) {
         atAck = () -> {
             if (disk != null && mayLose()) {
-                say(disk + " loses its disk");
+                logEvent(disk + " loses its disk");
                 machines.get(disk).end(true);
                 machines.get(disk).wipe();
             }
             powerAll();
         };
-        order(ip);
+        purge(ip);
     }
 
-    /** A machine is cut off from all others, where one may be, or is reached again. */
+    /** Cuts a machine off from all others, if one may be lost, or reconnects it. */
     void cut(String ip, boolean does) {
         RegistryMachine machine = machines.get(ip);
         if (machine.cut == does || does && !mayLose()) {
             return;
         }
-        say((does ? "cuts off " : "heals ") + ip);
+        logEvent((does ? "cuts off " : "heals ") + ip);
         machine.cut = does;
         if (does) {
             machine.away();
         } else {
             machine.back();
-            machine.ways.values().forEach(Way::drain);
-            machine.ways.values().forEach(way -> way.to().ways.get(ip).drain());
+            machine.peerLinks.values().forEach(RegistryLink::drain);
+            machine.peerLinks
+                    .values()
+                    .forEach(link -> link.to().peerLinks.get(ip).drain());
         }
     }
 
-    /** A process stands still, where one may. */
+    /** Freezes a process, if one may be lost. */
     void freeze(String ip) {
         RegistryMachine machine = machines.get(ip);
         if (machine.node != null && !machine.frozen && mayLose()) {
-            say("freezes " + ip);
+            logEvent("freezes " + ip);
             machine.frozen = true;
             machine.away();
         }
     }
 
-    /** It runs on. */
+    /** Resumes a frozen process. */
     void wake(String ip) {
         RegistryMachine machine = machines.get(ip);
         if (machine.frozen) {
-            say("wakes " + ip);
+            logEvent("wakes " + ip);
             machine.wake();
         }
     }
 
-    /** A disk hangs, where one may, or works again. */
+    /** Stalls a disk, if one may be lost, or lets it work again. */
     void stall(String ip, boolean does) {
         if (!does) {
             machines.get(ip).resume();
         } else if (mayLose()) {
-            say("stalls the disk of " + ip);
+            logEvent("stalls the disk of " + ip);
             machines.get(ip).stall();
         }
     }
 
-    /** All lose power, and come back. */
+    /** All machines lose power and restart. */
     void powerAll() {
-        say("power is lost everywhere");
+        logEvent("power is lost everywhere");
         machines.values().forEach(machine -> machine.end(true));
         machines.values().forEach(machine -> later(200_000 + random.nextLong(600_000), () -> start(machine)));
     }
 
-    /** It loses its power, and its disk, and comes back. */
+    /** A machine loses its power, or its disk too, and restarts. */
     void lose(String ip, boolean disk) {
         RegistryMachine machine = machines.get(ip);
         if (machine.node != null && mayLose()) {
-            say(ip + " loses its power" + (disk ? " and its disk" : ""));
+            logEvent(ip + " loses its power" + (disk ? " and its disk" : ""));
             machine.end(true);
             if (disk) {
                 machine.wipe();
@@ -234,16 +238,16 @@
                 && now - gone.awaySince > GONE_MICROS
                 && machines.get(spare).reached()
                 && store.replace(ip, spare)) {
-            say(spare + " takes the place of " + ip);
+            logEvent(spare + " takes the place of " + ip);
         }
     }
 
-    /** One at a time: all have been well for as long as a lost one needs. */
+    /** One at a time: all have been healthy for as long as a lost one needs to sync. */
     private boolean mayLose() {
         return machines.values().stream().allMatch(machine -> now - machine.calmSince >= SYNC_TIME);
     }
 
-    /** So much time passes, with all that is due in it. */
+    /** Advances the time and runs all events that fall due. */
     void calm(long span) {
         long until = now + span;
         while (!events.isEmpty() && events.peek().at <= until) {
@@ -254,7 +258,7 @@
         now = until;
     }
 
-    /** All is well again: some time later somebody vouches, and all that was acknowledged is known to who does. */
+    /** Removes all faults and checks that some registry is synced later and knows all that was acknowledged. */
     void heal() {
         machines.keySet().forEach(ip -> {
             wake(ip);
@@ -266,27 +270,27 @@
                 .filter(machine -> machine.node != null && machine.node.synced())
                 .count();
         if (vouching == 0) {
-            throw new Broken("nobody vouches three seconds after all was well");
+            throw new Violation("no registry is synced three seconds after recovery");
         }
-        machines.values().forEach(this::judge);
+        machines.values().forEach(this::check);
     }
 
-    /** Throws {@link Violation} where a registry vouches and does not know what it must. */
-    void judge(RegistryMachine machine) {
+    /** Throws {@link Violation} if a synced registry does not know what it must. */
+    void check(RegistryMachine machine) {
         if (machine.node == null || machine.frozen || !machine.node.synced()) {
             return;
         }
-        for (Acked one : acked) {
+        for (AcknowledgedChange one : acknowledgedChanges) {
             Entry held = machine.node.state().get(one.kind, one.key);
             boolean before = one.at < now - KNOWN_MICROS || one.at < machine.beganAt;
             if (before && (held == null || held.stamp() < one.stamp)) {
-                throw new Broken(machine.ip + " vouches at " + now / 1e6 + " and does not know " + one.kind + " "
+                throw new Violation(machine.ip + " is synced at " + now / 1e6 + " and does not know " + one.kind + " "
                         + one.key + ", acknowledged at " + one.at / 1e6);
             }
         }
     }
 
-    private void say(String what) {
-        story.add(now / 1e6 + " " + what);
+    private void logEvent(String what) {
+        eventLog.add(now / 1e6 + " " + what);
     }
 }
--- a/src/main/java/gorsemast/modelcheck/StoreMembers.java
+++ b/src/main/java/gorsemast/modelcheck/StoreMembers.java
@@ -1,7 +1,7 @@
 package gorsemast.modelcheck;
 
-import gorsemast.modelcheck.OrderReferee.Asked;
-import gorsemast.modelcheck.OrderReferee.Order;
+import gorsemast.modelcheck.ConfigurationChecker.Call;
+import gorsemast.modelcheck.ConfigurationChecker.Update;
 import gorsemast.node.FaultTolerance;
 import gorsemast.store.CallOutcome;
 import gorsemast.store.Location;
@@ -20,50 +20,55 @@
 import java.util.SplittableRandom;
 
 /**
- * Members of a store with their disks and the messages between them, in virtual time, and the operators who send them orders
- * and read. No fault begins here: {@link StoreWorld} adds those. Times in microseconds; one thread.
+ * Members of a store with their disks and the messages between them, in virtual time, and the operators who send updates and
+ * read. {@link StoreSimulation} adds the faults. Times in microseconds; single-threaded.
  */
 class StoreMembers {
     static final long STEP_MICROS = 25_000;
     private static final int ROUGH_DRAWS = 5;
     static final long LONG_MICROS = 20_000_000;
-    /** Operators give an order so long, whatever one disk does. */
+    /** How long operators wait for an update, whatever a single disk does. */
     private static final long ACK_MICROS = 4_000_000;
-    /** An operator that has no answer asks another machine after so long. */
+    /** After this time without an answer an operator tries another machine. */
     private static final long AGAIN_MICROS = 1_000_000;
 
     final SplittableRandom random;
-    final Plant plant;
+    final StoreDefect defect;
     final FaultTolerance tolerance;
     final Map<String, Location> places;
     final List<Member> firstMembers = new ArrayList<>();
     final Map<String, ModelMachine> machines = new HashMap<>();
     final List<String> ips = new ArrayList<>();
     final ModelLinks links = new ModelLinks();
-    final Map<Long, Asked> calls = new HashMap<>();
+    final Map<Long, Call> calls = new HashMap<>();
     final Map<Long, Integer> hops = new HashMap<>();
-    final OrderReferee orders = new OrderReferee();
-    final SpoiledMessages spoiled;
+    final ConfigurationChecker checker = new ConfigurationChecker();
+    final DefectiveMessages defectiveMessages;
     final Deque<Runnable> later = new ArrayDeque<>();
-    List<String> story;
+    List<String> eventLog;
     long now = 1_000_000;
     private long lastCall;
     long lastAsked;
-    int lives;
+    int incarnations;
 
     /**
-     * So many members on empty disks, and further machines that are none.
+     * Creates members on empty disks, and spare machines that are no members.
      *
-     * @param tolerance the losses that are to be borne
-     * @param places the places of machines, by name
+     * @param tolerance the losses to tolerate
+     * @param places the machines' locations by name
      */
     StoreMembers(
-            int members, int spares, FaultTolerance tolerance, Map<String, Location> places, long seed, Plant plant) {
+            int members,
+            int spares,
+            FaultTolerance tolerance,
+            Map<String, Location> places,
+            long seed,
+            StoreDefect defect) {
         this.tolerance = tolerance;
         this.places = Map.copyOf(places);
         this.random = new SplittableRandom(seed);
-        this.plant = plant;
-        this.spoiled = new SpoiledMessages(plant);
+        this.defect = defect;
+        this.defectiveMessages = new DefectiveMessages(defect);
         for (int i = 1; i <= members + spares; i++) {
             String ip = "m" + i;
             ips.add(ip);
@@ -82,19 +87,19 @@
         }
     }
 
-    /** What members said of themselves and what happened to them; null unless it is kept. */
-    List<String> story() {
-        return story;
+    /** The members' log and the injected events; null unless recorded. */
+    List<String> eventLog() {
+        return eventLog;
     }
 
-    /** Calls that were answered for certain. */
+    /** The number of calls with a definite answer. */
     int answered() {
-        return orders.answered();
+        return checker.answeredCalls();
     }
 
     /** The newest version that was acknowledged. */
     long newest() {
-        return orders.newest();
+        return checker.newest();
     }
 
     /** The machines' names. */
@@ -102,7 +107,7 @@
         return ips;
     }
 
-    /** The machine that leads; null for none. */
+    /** The machine of the primary; null for none. */
     String leader() {
         return ips.stream()
                 .filter(ip -> machines.get(ip).replica != null
@@ -112,26 +117,27 @@
                 .orElse(null);
     }
 
-    /** The decisions of a machine that runs; null where none do. */
+    /** The replica of a running machine; null if it does not run. */
     Replica replica(String ip) {
         return machines.get(ip).replica;
     }
 
     /** A call reaches a replica. */
-    void enter(ModelMachine at, long call, Asked asked) {
-        if (asked.order() != null) {
-            if (plant == Plant.CONFLICT_BEFORE_THE_ROUND && at.refusesAtOnce(asked.order())) {
+    void enter(ModelMachine at, long call, Call request) {
+        if (request.update() != null) {
+            if (defect == StoreDefect.CONFLICT_BEFORE_THE_ROUND && at.refusesAtOnce(request.update())) {
                 at.complete(call, CallOutcome.CONFLICT, at.replica.stored());
                 return;
             }
-            at.replica.put(now, call, asked.order().version(), asked.order().body());
+            at.replica.put(
+                    now, call, request.update().version(), request.update().body());
         } else {
             at.replica.get(now, call);
         }
         settle();
     }
 
-    /** Does what is due at this moment. */
+    /** Runs all tasks that are due now. */
     void settle() {
         while (!later.isEmpty()) {
             later.poll().run();
@@ -140,35 +146,35 @@
 
     /** An operator sends the next version to a machine, or sends the last one again. */
     void put(String ip, boolean same) {
-        order(ip, same ? orders.again(0) : orders.next());
+        update(ip, same ? checker.again(0) : checker.next());
     }
 
-    /** An operator sends an order again that was sent so many before the last. */
+    /** An operator resends the update sent {@code back} before the last. */
     void again(String ip, int back) {
-        order(ip, orders.again(back));
+        update(ip, checker.again(back));
     }
 
-    /** Another operator sends a content of its own under a number that was sent so many numbers ago. */
+    /** Another operator sends a different content under one of the last numbers. */
     void rival(String ip, int back) {
-        order(ip, orders.rival(back));
+        update(ip, checker.rival(back));
     }
 
-    /** An order is sent to a machine. */
-    void order(String ip, Order order) {
-        ask(ip, orders.ask(order));
+    /** Sends an update to a machine. */
+    void update(String ip, Update update) {
+        ask(ip, checker.call(update));
     }
 
     /** An operator sends the next version, to one machine after the other, and gives it {@link #ACK_MICROS}. */
-    void order(String ip) {
-        Order order = orders.next();
+    void update(String ip) {
+        Update update = checker.next();
         long begun = now;
-        for (int at = ips.indexOf(ip); !orders.holds(order.version()); at++) {
+        for (int at = ips.indexOf(ip); !checker.isAcknowledged(update.version()); at++) {
             if (now - begun > ACK_MICROS) {
-                throw new StoreWorld.Broken(
-                        "version " + order.version() + " is not acknowledged in " + ACK_MICROS / 1_000 + " ms");
+                throw new StoreSimulation.Violation(
+                        "version " + update.version() + " is not acknowledged in " + ACK_MICROS / 1_000 + " ms");
             }
-            order(ips.get(at % ips.size()), order);
-            for (long until = now + AGAIN_MICROS; now < until && !orders.holds(order.version()); ) {
+            update(ips.get(at % ips.size()), update);
+            for (long until = now + AGAIN_MICROS; now < until && !checker.isAcknowledged(update.version()); ) {
                 quiet();
                 tick();
                 quiet();
@@ -178,18 +184,19 @@
 
     /** An operator reads. */
     void get(String ip) {
-        ask(ip, orders.ask(null));
+        ask(ip, checker.call(null));
     }
 
-    private void ask(String ip, Asked asked) {
+    private void ask(String ip, Call request) {
         ModelMachine at = machines.get(ip);
         if (at.replica != null && !at.frozen) {
             long call = ++lastCall;
-            calls.put(call, asked);
-            if (story != null && asked.order() != null) {
-                story.add(now / 1_000 + " " + ip + " is sent " + asked.order().content());
+            calls.put(call, request);
+            if (eventLog != null && request.update() != null) {
+                eventLog.add(
+                        now / 1_000 + " " + ip + " is sent " + request.update().content());
             }
-            enter(at, call, asked);
+            enter(at, call, request);
         }
     }
 
@@ -207,7 +214,8 @@
             lastAsked = request.term();
         }
         at.replica.receive(now, message);
-        Message answer = spoiled.answerInAnyTerm(message, at.disk.held().self());
+        Message answer =
+                defectiveMessages.answerInAnyTerm(message, at.disk.held().self());
         if (answer != null) {
             ModelMachine asker = machines.get(from);
             later.add(() -> {
@@ -227,20 +235,20 @@
         return did;
     }
 
-    /** Time passes, and everybody who runs looks at the clock. */
+    /** Advances the time; all running members process their timers. */
     void tick() {
         now += STEP_MICROS;
         for (String ip : ips) {
             ModelMachine machine = machines.get(ip);
             if (machine.replica != null && !machine.frozen) {
                 machine.replica.tick(now);
-                machine.tellEarly();
+                machine.advertiseEarly();
                 settle();
             }
         }
     }
 
-    /** For this long, messages and disks come at drawn moments: of a pair's messages, some three in each step. */
+    /** For this time, messages and writes complete at random moments: about three messages of each pair per step. */
     void rough(long micros) {
         long until = now + micros;
         while (now < until) {
@@ -255,7 +263,7 @@
         }
     }
 
-    /** Everything that is on its way arrives. */
+    /** Delivers all messages and completes all writes. */
     void quiet() {
         boolean moved = true;
         for (int round = 0; moved && round < 1_000; round++) {
@@ -273,7 +281,7 @@
         }
     }
 
-    /** A calm while, as between troubles. */
+    /** Lets time pass without faults. */
     void calm(long micros) {
         long until = now + micros;
         while (now < until) {
@@ -282,7 +290,7 @@
         }
     }
 
-    /** Whether something that an operator asks is answered within 5 s. */
+    /** Whether an operator's call is answered within 5 s. */
     boolean answers(Runnable asks) {
         int before = answered();
         asks.run();
--- a/src/main/java/gorsemast/modelcheck/StoreWorld.java
+++ b/src/main/java/gorsemast/modelcheck/StoreSimulation.java
@@ -1,6 +1,6 @@
 package gorsemast.modelcheck;
 
-import gorsemast.modelcheck.OrderReferee.Order;
+import gorsemast.modelcheck.ConfigurationChecker.Update;
 import gorsemast.node.FaultTolerance;
 import gorsemast.store.Location;
 import gorsemast.store.Member;
@@ -10,44 +10,49 @@
 import java.util.Map;
 
 /**
- * Members of a store among faults: processes that are killed, stand still or leave, disks that stall or are lost, links that
- * are cut or break.
+ * Simulates members of a store under faults: processes that are killed, freeze or leave, disks that stall or are lost, links
+ * that are cut or break.
  *
- * <p>The referee: what {@link OrderReferee} says of orders, a read never answers with less than was acknowledged before
- * it was asked for nor with what nobody sent, and when all is well again a read answers, with at least the newest
- * that was acknowledged. Deterministic by its seed. One thread.
+ * <p>It checks the rules of {@link ConfigurationChecker}, that a read never returns less than was acknowledged before it was
+ * sent nor what nobody sent, and that after recovery a read returns at least the newest acknowledged version. Deterministic
+ * by its seed. Single-threaded.
  */
-final class StoreWorld extends StoreMembers {
-    /** A rule was broken. */
-    static final class Broken extends RuntimeException {
+final class StoreSimulation extends StoreMembers {
+    /** A violated rule. */
+    static final class Violation extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        Broken(String text) {
+        Violation(String text) {
             super(text);
         }
     }
 
-    /** Orders under so many contested numbers are sent again in the end. */
+    /** For how many contested numbers the updates are resent in the end. */
     private static final int SENT_AGAIN = 4;
 
     private String lost;
     private long lostSince;
     private long steadySince;
 
-    /** So many members on empty disks, at the system's first start, and further machines that are none. */
-    StoreWorld(int members, int spares, long seed, Plant plant) {
-        this(members, spares, FaultTolerance.ofMachines(1), Map.of(), seed, plant);
+    /** Starts members on empty disks, as at the system's first start, and spare machines that are no members. */
+    StoreSimulation(int members, int spares, long seed, StoreDefect defect) {
+        this(members, spares, FaultTolerance.ofMachines(1), Map.of(), seed, defect);
     }
 
-    /** The same where these losses are to be borne, with the places of machines, by name. */
-    StoreWorld(
-            int members, int spares, FaultTolerance tolerance, Map<String, Location> places, long seed, Plant plant) {
-        super(members, spares, tolerance, places, seed, plant);
+    /** The same with the losses to tolerate and the machines' locations by name. */
+    StoreSimulation(
+            int members,
+            int spares,
+            FaultTolerance tolerance,
+            Map<String, Location> places,
+            long seed,
+            StoreDefect defect) {
+        super(members, spares, tolerance, places, seed, defect);
     }
 
-    /** Keeps from now on what {@link #story} gives. */
-    StoreWorld telling() {
-        story = new ArrayList<>();
+    /** Records events from now on, see {@link #eventLog}. */
+    StoreSimulation recordingEvents() {
+        eventLog = new ArrayList<>();
         return this;
     }
 
@@ -59,7 +64,7 @@
         }
     }
 
-    /** Starts what is down. */
+    /** Starts a machine that is down. */
     void start(String ip) {
         ModelMachine machine = machines.get(ip);
         if (machine.replica == null && !machine.gone) {
@@ -72,7 +77,7 @@
         }
     }
 
-    /** A disk is lost, where no other one is lost or has only just come back: one at a time may be. */
+    /** Loses a disk unless another one is lost or has only just come back: one may be lost at a time. */
     void wipe(String ip) {
         ModelMachine machine = machines.get(ip);
         boolean whole = lost == null || machines.get(lost).replica != null && now - lostSince > 4_000_000;
@@ -85,7 +90,7 @@
         }
     }
 
-    /** Links come up, by the list of core machines that each process is given: each side says a first word. */
+    /** Links come up by each process's list of core machines: each side sends a first message. */
     private void greet(ModelMachine started) {
         for (String ip : ips) {
             ModelMachine other = machines.get(ip);
@@ -96,7 +101,7 @@
         }
     }
 
-    /** A further machine, not started yet; its name. */
+    /** Adds a machine that is not started yet; returns its name. */
     String add() {
         String ip = "m" + (ips.size() + 1);
         ips.add(ip);
@@ -139,12 +144,12 @@
         settle();
     }
 
-    /** Whether one that was asked to leave may end. */
+    /** Whether a machine that was asked to leave may stop. */
     boolean left(String ip) {
         return machines.get(ip).replica.mayStop(now);
     }
 
-    /** A machine is asked to leave and ends as soon as it may, or when the time is over; how long that took. */
+    /** Asks a machine to leave; it ends as soon as it may or after the grace time. Returns how long that took. */
     long leave(String ip, long grace) {
         tell(ip + " leaves");
         long from = now;
@@ -158,12 +163,12 @@
                 quiet();
                 tick();
             }
-        } while (!(plant == Plant.LEAVES_AT_ONCE || replica.mayStop(now)) && now - from < grace);
+        } while (!(defect == StoreDefect.LEAVES_AT_ONCE || replica.mayStop(now)) && now - from < grace);
         kill(ip, false);
         return now - from;
     }
 
-    /** How long it takes until a read sent to any machine that runs answers, asked anew each 0.1 s; -1 for never. */
+    /** How long it takes until a read, sent to all running machines every 0.1 s, is answered; -1 for never. */
     long readAnswers(long within) {
         long from = now;
         int before = answered();
@@ -190,7 +195,7 @@
                 && steadySince < now - 4_000_000;
     }
 
-    /** A process stands still, or runs on. */
+    /** Freezes a process, or resumes it. */
     void freeze(String ip, boolean does) {
         tell(ip + (does ? " freezes" : " wakes"));
         if (does) {
@@ -200,13 +205,13 @@
         }
     }
 
-    /** A disk hangs or is full, and ends nothing; or works again. */
+    /** Stalls a disk, as one that hangs or is full, or lets it work again. */
     void stall(String ip, boolean does) {
         tell(ip + (does ? "'s disk stalls" : "'s disk works"));
         machines.get(ip).disk.stall(does);
     }
 
-    /** One direction between two machines is cut, or mended. */
+    /** One direction between two machines is cut or restored. */
     void cut(String from, String to, boolean does) {
         links.cut(from, to, does);
         if (does) {
@@ -214,7 +219,7 @@
         }
     }
 
-    /** A machine reaches no other one, both ways. */
+    /** Cuts a machine off from all others, or reconnects it. */
     void isolate(String ip, boolean does) {
         for (String other : ips) {
             if (!other.equals(ip)) {
@@ -235,7 +240,7 @@
         links.breakLink(from, to);
     }
 
-    /** Everything works again, for so long that what is slow has come to its end; then a read must answer. */
+    /** Removes all faults, lets everything pending complete, and checks that a read answers. */
     void heal() {
         links.mend();
         for (String ip : ips) {
@@ -251,23 +256,23 @@
         String standing =
                 ips.stream().filter(ip -> !machines.get(ip).gone).findFirst().orElseThrow();
         if (!answers(() -> get(standing))) {
-            throw new Broken("nobody answers though all is well");
+            throw new Violation("no read is answered after recovery");
         }
-        List<Order> contested = orders.contested(SENT_AGAIN);
-        for (Order order : contested) {
-            // As an operator does: one that nobody has taken in yet may not know who leads, another one does.
+        List<Update> contested = checker.contested(SENT_AGAIN);
+        for (Update update : contested) {
+            // As an operator does: a machine that has not joined yet may not know the primary, another one does.
             int first = random.nextInt(ips.size());
-            if (!answers(() -> order(ips.get(first), order)) && !answers(() -> order(standing, order))) {
-                throw new Broken("nobody answers an order though all is well");
+            if (!answers(() -> update(ips.get(first), update)) && !answers(() -> update(standing, update))) {
+                throw new Violation("no update is answered after recovery");
             }
         }
-        orders.end(contested);
+        checker.checkAtEnd(contested);
     }
 
     private void tell(String what) {
         steadySince = now;
-        if (story != null) {
-            story.add(now / 1_000 + " " + what);
+        if (eventLog != null) {
+            eventLog.add(now / 1_000 + " " + what);
         }
     }
 }
--- a/src/main/java/gorsemast/modelcheck/StandInStore.java
+++ b/src/main/java/gorsemast/modelcheck/StoreStub.java
@@ -8,21 +8,21 @@
 import java.util.Map;
 
 /**
- * Stands in for the store of configuration in {@link RegistryWorld}: certain of its newest version where a majority of
- * the view is reached. One thread.
+ * Stub of the configuration store in {@link RegistrySimulation}: certain of its newest version if a majority of the view is
+ * reachable. Single-threaded.
  */
-final class StandInStore {
+final class StoreStub {
     private static final int MAJORITY = 2;
 
-    private final RegistryPlant plant;
+    private final RegistryDefect defect;
     private final Map<String, RegistryMachine> machines;
     private List<String> view;
     private long term = 1;
     private long version;
 
-    /** With this first view. */
-    StandInStore(RegistryPlant plant, Map<String, RegistryMachine> machines, List<String> view) {
-        this.plant = plant;
+    /** Creates a store with this first view. */
+    StoreStub(RegistryDefect defect, Map<String, RegistryMachine> machines, List<String> view) {
+        this.defect = defect;
         this.machines = machines;
         this.view = view;
     }
@@ -32,7 +32,7 @@
         return view;
     }
 
-    /** How many members of the view are reached. */
+    /** The number of reachable members of the view. */
     long reached() {
         return view.stream().map(machines::get).filter(RegistryMachine::reached).count();
     }
@@ -42,12 +42,12 @@
         return with.reached() && reached >= MAJORITY;
     }
 
-    /** Acknowledges a version where a majority of the view is reached; its number, 0 for none. */
+    /** Acknowledges a version if a majority of the view is reachable; returns its number or 0. */
     long acknowledge() {
         return reached() >= MAJORITY ? ++version : 0;
     }
 
-    /** Another machine takes a member's place, where a majority of the view is reached; whether it did. */
+    /** Replaces a member if a majority of the view is reachable; returns whether it did. */
     boolean replace(String gone, String spare) {
         if (reached() < MAJORITY) {
             return false;
@@ -59,14 +59,14 @@
         return true;
     }
 
-    /** Answers a registry's read, where its process still runs. */
-    void answers(RegistryMachine machine, int life, long call, long known) {
-        if (machine.node == null || machine.life != life) {
+    /** Answers a registry's read if its process still runs. */
+    void answerRead(RegistryMachine machine, int incarnation, long call, long known) {
+        if (machine.node == null || machine.incarnation != incarnation) {
             return;
         }
         boolean done = majority(machine);
         long newest = version;
-        machine.run(life, () -> {
+        machine.run(incarnation, () -> {
             byte[] body = newest == known || newest == 0 ? null : new byte[] {1};
             machine.node.received(machine.store(), answer(call, done, done ? newest : 0, done ? body : null));
         });
@@ -78,15 +78,15 @@
         return new PeerMessage.StoreAnswer(call, outcome, newest, 1, ContentDigest.of(new byte[] {1}), body);
     }
 
-    /** Tells a registry who the members are. */
-    void tells(RegistryMachine machine) {
+    /** Sends a registry the member list. */
+    void sendMembers(RegistryMachine machine) {
         List<String> members = view;
-        if (plant == RegistryPlant.MEMBERS_BELIEVED_UP) {
+        if (defect == RegistryDefect.MEMBERS_BELIEVED_UP) {
             List<String> up = new ArrayList<>(List.of(machine.ip));
-            machine.ways.values().stream().filter(Way::isUp).forEach(way -> up.add(way.to().ip));
+            machine.peerLinks.values().stream().filter(RegistryLink::isUp).forEach(link -> up.add(link.to().ip));
             members = up;
         } else if (!majority(machine) && machine.node.membership().term() > 0) {
-            return; // its store hears of no newer view
+            return; // its store receives no newer view
         }
         machine.node.received(machine.store(), new PeerMessage.Members(term, members, List.of()));
     }
--- a/src/main/java/gorsemast/modelcheck/package-info.java
+++ b/src/main/java/gorsemast/modelcheck/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The proving ground of the store's decisions: members, links and disks in virtual time, faults drawn or in all orders,
- * and a referee who knows what was acknowledged.
+ * Model checks of the store's and the registries' decision code: members, links and disks in virtual time, with random or
+ * exhaustively enumerated faults, and checkers that know what was acknowledged.
  */
 package gorsemast.modelcheck;
--- a/src/main/java/gorsemast/rig/Rig.java
+++ b/src/main/java/gorsemast/rig/Rig.java
@@ -31,7 +31,7 @@
 
 /**
  * Plays a day: starts the processes, does to them what the day says, waits after each event until all that can reach each
- * other see the same, watches that nobody live is called dead meanwhile, and has the {@link Referee} judge the rest.
+ * other see the same, watches that nobody live is called dead meanwhile, and has the {@link RequestChecker} judge the rest.
  *
  * <p>Waits on conditions, each within a stated bound; says nothing of speed. Blocks.
  */
--- a/src/main/java/gorsemast/simulation/Clients.java
+++ b/src/main/java/gorsemast/simulation/Clients.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** The platform, which asks who is ready, and the clients that it hands to edges. One thread; microseconds. */
+/** The platform's readiness probes and the clients that it routes to edges. Single-threaded; times in microseconds. */
 final class Clients {
     static final int PATHS = 40;
     private static final long REQUEST_MICROS = 14_000;
     private static final long PROBE_MICROS = 1_000_000;
     private static final long RECOVERY_MICROS = 15_000_000;
-    /** A share of the calm time in which machines in touch may be unready: one of so many. */
+    /** At most one of this many probes of connected machines may find them unready. */
     private static final int UNREADY_SHARE = 8;
 
-    private final World world;
+    private final Simulation simulation;
     private final Map<Machine, Boolean> taken = new HashMap<>();
     private final Map<Machine, Integer> missed = new HashMap<>();
     private long lastRequest;
@@ -28,109 +28,111 @@
     private long restored;
     private boolean again;
 
-    Clients(World world) {
-        this.world = world;
+    Clients(Simulation simulation) {
+        this.simulation = simulation;
     }
 
-    int asked() {
+    int requestCount() {
         return asked;
     }
 
-    int served() {
+    int servedCount() {
         return served;
     }
 
-    /** All machines are back after the closing fault. */
-    void restored() {
-        restored = world.time.now();
+    /** Records that all machines are back after the closing fault. */
+    void recordRestored() {
+        restored = simulation.time.now();
     }
 
-    /** The platform asks each second who takes clients; two misses take one out. */
-    void probe() {
-        for (Machine machine : world.machines(false)) {
+    /** Probes the readiness of each edge every second; two failed probes in a row take an edge out of rotation. */
+    void probeEdges() {
+        for (Machine machine : simulation.machines(false)) {
             boolean well = machine.power
-                    && machine.frozenUntil <= world.time.now()
-                    && world.process(Program.PROXY, machine) instanceof Edge edge
+                    && machine.frozenUntil <= simulation.time.now()
+                    && simulation.process(Program.PROXY, machine) instanceof Edge edge
                     && edge.ready();
             int misses = well ? 0 : missed.getOrDefault(machine, 0) + 1;
             missed.put(machine, misses);
             if (well || misses >= 2) {
                 taken.put(machine, well);
             }
-            if (world.contact.touch(machine)) {
+            if (simulation.connectivity.isConnected(machine)) {
                 probes++;
                 unready += well ? 0 : 1;
             }
         }
-        world.time.after(PROBE_MICROS, this::probe);
+        simulation.time.after(PROBE_MICROS, this::probeEdges);
     }
 
-    /** Requests come until then. */
-    void requests(long until) {
-        if (world.time.now() < until) {
-            request();
-            world.time.after(REQUEST_MICROS / 2 + world.random.nextLong(REQUEST_MICROS), () -> requests(until));
+    /** Sends client requests until the given time. */
+    void sendRequests(long until) {
+        if (simulation.time.now() < until) {
+            sendRequest();
+            simulation.time.after(
+                    REQUEST_MICROS / 2 + simulation.random.nextLong(REQUEST_MICROS), () -> sendRequests(until));
         }
     }
 
-    private void request() {
-        List<Machine> all = world.machines(false);
+    private void sendRequest() {
+        List<Machine> all = simulation.machines(false);
         List<Machine> in =
                 all.stream().filter(one -> taken.getOrDefault(one, false)).toList();
         in = 2 * in.size() < all.size() ? all : in;
-        Machine machine = in.get(world.random.nextInt(in.size()));
-        int what = world.random.nextInt(10);
+        Machine machine = in.get(simulation.random.nextInt(in.size()));
+        int what = simulation.random.nextInt(10);
         boolean unsafe = what >= 8;
         String path = what < 6
-                ? "/o/" + Math.min(world.random.nextInt(PATHS), world.random.nextInt(PATHS))
+                ? "/o/" + Math.min(simulation.random.nextInt(PATHS), simulation.random.nextInt(PATHS))
                 : what < 7 ? "/s/x" : what < 8 ? "/m/x" : "/p/x";
         String attempt = "t" + ++lastRequest;
-        world.referee.asks(what < 6 ? World.OBJECTS : "orders");
+        simulation.requestChecker.recordRequest(what < 6 ? Simulation.OBJECTS : "orders");
         if (what == 7) {
-            world.referee.asks("other");
+            simulation.requestChecker.recordRequest("other");
         }
         asked++;
-        boolean late = restored > 0 && world.time.now() > restored + RECOVERY_MICROS;
+        boolean late = restored > 0 && simulation.time.now() > restored + RECOVERY_MICROS;
         askedLate += late ? 1 : 0;
-        long sentAt = world.time.now();
-        world.time.after(world.ways.way(1_000), () -> {
-            if (machine.power && world.process(Program.PROXY, machine) instanceof Edge edge) {
-                edge.run(() -> handed(edge, attempt, path, unsafe, sentAt, late));
+        long sentAt = simulation.time.now();
+        simulation.time.after(simulation.links.randomLatency(1_000), () -> {
+            if (machine.power && simulation.process(Program.PROXY, machine) instanceof Edge edge) {
+                edge.run(() -> deliver(edge, attempt, path, unsafe, sentAt, late));
             }
         });
     }
 
-    private void handed(Edge edge, String attempt, String path, boolean unsafe, long sentAt, boolean late) {
+    private void deliver(Edge edge, String attempt, String path, boolean unsafe, long sentAt, boolean late) {
         Configuration now = edge.goesBy();
         if (now != null) {
-            world.contents.handles(edge, now.version(), edge.content(now), sentAt);
+            simulation.configurationChecker.handles(edge, now.version(), edge.content(now), sentAt);
         }
         edge.request(
                 attempt,
                 path,
-                answer -> world.time.after(world.ways.way(1_000), () -> {
-                    world.referee.answered(edge, attempt, path, unsafe, sentAt, answer);
+                answer -> simulation.time.after(simulation.links.randomLatency(1_000), () -> {
+                    simulation.requestChecker.answered(edge, attempt, path, unsafe, sentAt, answer);
                     if (answer.told() == Edge.Told.SERVED) {
                         served++;
                         servedLate += late ? 1 : 0;
                         if (restored > 0 && !again && sentAt > restored) {
                             again = true;
-                            world.took(Outcome.SERVED_AGAIN, world.time.now() - restored);
+                            simulation.recordDuration(Outcome.SERVED_AGAIN, simulation.time.now() - restored);
                         }
                     }
                 }));
     }
 
-    /** What is judged when the day is over. */
-    void end() {
+    /** Checks the rules on recovery and readiness at the end of a run. */
+    void checkAtEnd() {
         if (restored > 0 && askedLate > 0 && 4 * servedLate < askedLate) {
-            throw new Broken(
+            throw new Violation(
                     "RECOVER",
-                    servedLate + " of " + askedLate + " requests are served " + RECOVERY_MICROS / 1_000_000
-                            + " s after all were back");
+                    servedLate + " of " + askedLate + " requests were served " + RECOVERY_MICROS / 1_000_000
+                            + " s after all machines were back");
         }
         if (UNREADY_SHARE * unready > probes) {
-            throw new Broken("DUTY", "machines in touch were not ready at " + unready + " of " + probes + " probes");
+            throw new Violation(
+                    "DUTY", "connected machines were not ready at " + unready + " of " + probes + " probes");
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/ClosingFault.java
+++ b/src/main/java/gorsemast/simulation/ClosingFault.java
@@ -1,68 +1,73 @@
 package gorsemast.simulation;
 
-import gorsemast.simulation.Trouble.Closing;
+import gorsemast.simulation.Fault.Closing;
 
-/** What ends a day: all lose power or their processes, or one its disk, right after an acknowledgement or soon after an order. */
+/**
+ * The fault that ends a run: all machines lose power or their processes, or one loses its disk, right after an
+ * acknowledgement or soon after a change was sent.
+ */
 final class ClosingFault {
     private static final long DOWN_MICROS = 1_000_000;
     private static final long SOONEST_MICROS = 5_000;
     private static final long LATEST_MICROS = 400_000;
 
-    private final World world;
-    private final Troubles troubles;
-    private boolean struck;
+    private final Simulation simulation;
+    private final FaultInjector faultInjector;
+    private boolean injected;
 
-    ClosingFault(World world, Troubles troubles) {
-        this.world = world;
-        this.troubles = troubles;
+    ClosingFault(Simulation simulation, FaultInjector faultInjector) {
+        this.simulation = simulation;
+        this.faultInjector = faultInjector;
     }
 
-    void strike(Closing closing) {
+    void inject(Closing closing) {
         switch (closing) {
             case NONE -> {}
             case POWER_TIMED -> {
-                order(world.random.nextInt(3), () -> {});
-                world.time.after(
-                        SOONEST_MICROS + world.random.nextLong(LATEST_MICROS - SOONEST_MICROS),
-                        () -> now(Closing.POWER_ALL));
+                sendChange(simulation.random.nextInt(3), () -> {});
+                simulation.time.after(
+                        SOONEST_MICROS + simulation.random.nextLong(LATEST_MICROS - SOONEST_MICROS),
+                        () -> injectNow(Closing.POWER_ALL));
             }
-            case POWER_ANY -> order(1 + world.random.nextInt(2), () -> now(Closing.POWER_ALL));
-            default -> order(0, () -> now(closing));
+            case POWER_ANY -> sendChange(1 + simulation.random.nextInt(2), () -> injectNow(Closing.POWER_ALL));
+            default -> sendChange(0, () -> injectNow(closing));
         }
     }
 
-    private void order(int which, Runnable acknowledged) {
+    private void sendChange(int which, Runnable acknowledged) {
         switch (which) {
-            case 1 -> world.operator.purge(world.random.nextInt(1_000), acknowledged);
+            case 1 -> simulation.operator.purge(simulation.random.nextInt(1_000), acknowledged);
             case 2 -> {
-                if (!troubles.servers().leaves(world.random.nextInt(1_000), acknowledged)) {
-                    world.operator.configure(acknowledged);
+                if (!faultInjector.servers().drain(simulation.random.nextInt(1_000), acknowledged)) {
+                    simulation.operator.configure(acknowledged);
                 }
             }
-            default -> world.operator.configure(acknowledged);
+            default -> simulation.operator.configure(acknowledged);
         }
     }
 
-    private void now(Closing closing) {
-        if (struck) {
+    private void injectNow(Closing closing) {
+        if (injected) {
             return;
         }
-        struck = true;
-        world.say("closing fault " + closing);
-        MachineTroubles machines = troubles.machines();
+        injected = true;
+        simulation.logEvent("closing fault " + closing);
+        MachineFaults machines = faultInjector.machines();
         if (closing != Closing.WIPE) {
             for (boolean core : new boolean[] {true, false}) {
-                world.machines(core).forEach(one -> machines.bounce(one, closing == Closing.POWER_ALL, DOWN_MICROS));
+                simulation
+                        .machines(core)
+                        .forEach(one -> machines.restart(one, closing == Closing.POWER_ALL, DOWN_MICROS));
             }
-        } else if (world.mayLose(1)) {
-            Machine wiped = troubles.core(world.random.nextInt(10));
+        } else if (simulation.mayLose(1)) {
+            Machine wiped = faultInjector.pickCoreMachine(simulation.random.nextInt(10));
             machines.wipe(wiped, DOWN_MICROS);
-            if (world.random.nextBoolean()) {
-                world.machines(true).stream()
+            if (simulation.random.nextBoolean()) {
+                simulation.machines(true).stream()
                         .filter(one -> one != wiped)
-                        .forEach(one -> machines.bounce(one, true, DOWN_MICROS));
+                        .forEach(one -> machines.restart(one, true, DOWN_MICROS));
             }
         }
-        world.time.after(DOWN_MICROS, world.clients::restored);
+        simulation.time.after(DOWN_MICROS, simulation.clients::recordRestored);
     }
 }
--- a/src/main/java/gorsemast/simulation/Codec.java
+++ b/src/main/java/gorsemast/simulation/Codec.java
@@ -7,7 +7,7 @@
 import java.io.DataOutputStream;
 import java.io.IOException;
 
-/** Records as they go over links: written and read as in service, so that lengths and ages are what they are there. */
+/** Encodes and decodes records with the production codec, so that lengths and ages are the real ones. */
 final class Codec {
     private Codec() {}
 
@@ -16,7 +16,7 @@
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             record.write(out, now);
         } catch (IOException e) {
-            throw new IllegalStateException(e); // memory does not fail
+            throw new IllegalStateException(e); // in-memory streams do not fail
         }
         return bytes.toByteArray();
     }
@@ -25,7 +25,7 @@
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             return PeerMessage.read(in, now);
         } catch (IOException e) {
-            throw new Broken("RECORD", "a record can't be read: " + e.getMessage());
+            throw new Violation("RECORD", "record cannot be decoded: " + e.getMessage());
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/CoreProcesses.java
+++ b/src/main/java/gorsemast/simulation/CoreProcesses.java
@@ -20,14 +20,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The two programs of a core machine round their decisions, with the machine's disk. */
+/** The registry and the store of a core machine around their decision code, with the machine's disk. */
 final class CoreProcesses {
     private CoreProcesses() {}
 
-    /** A registry. */
+    /** A registry process. */
     static final class Registry extends Process implements RegistryNode.Environment {
-        final RegistryNode office;
-        private final PlantedRegistry.Own own = new PlantedRegistry.Own();
+        final RegistryNode registryNode;
+        private final DefectiveRegistry.LocalConfigurations own = new DefectiveRegistry.LocalConfigurations();
         /** The last configuration that an operator sent here. */
         private Configuration sent;
 
@@ -35,43 +35,43 @@
         private int written;
         private int synced;
 
-        Registry(World world, Machine machine, boolean firstBoot) {
-            super(world, machine, Program.REGISTRY);
-            this.office = new RegistryNode(
+        Registry(Simulation simulation, Machine machine, boolean firstBoot) {
+            super(simulation, machine, Program.REGISTRY);
+            this.registryNode = new RegistryNode(
                     new RegistryNode.Parameters(
                             machine.ip,
                             machine.zone,
                             machine.ip + ":80",
                             wall(),
-                            World.BEAT_MICROS,
-                            world.losses(),
+                            Simulation.BEAT_MICROS,
+                            simulation.losses(),
                             firstBoot),
-                    world.seeds(),
+                    simulation.seeds(),
                     true,
-                    world.random.nextLong(),
+                    simulation.random.nextLong(),
                     this::now,
                     this,
                     this);
-            office.restore(machine.disk.known, machine.disk.journal);
+            registryNode.restore(machine.disk.known, machine.disk.journal);
             each(RegistryNode.TICK_MICROS, this::tick);
         }
 
         private void tick() {
             Set<Target> wanted = new LinkedHashSet<>();
-            office.peerAddresses().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
+            registryNode.peerAddresses().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
             wanted.add(new Target(Program.STORE, machine.ip));
             keep(wanted);
-            office.tick();
+            registryNode.tick();
         }
 
-        /** A call from outside. */
+        /** Handles an external call. */
         void call(String method, String path, byte[] body, RegistryNode.Reply reply) {
             try {
                 Command command = CommandDecoder.decode(method, path, body);
                 own.ordered(command);
                 sent = command instanceof Command.Replace replace ? replace.configuration() : sent;
-                if (!PlantedRegistry.answers(world.plant, office, command, reply)) {
-                    office.execute(command, body.length, reply);
+                if (!DefectiveRegistry.answers(simulation.defect, registryNode, command, reply)) {
+                    registryNode.execute(command, body.length, reply);
                 }
             } catch (CommandException e) {
                 reply.answer(e.code().status(), e.getMessage(), null);
@@ -79,38 +79,40 @@
         }
 
         @Override
-        PeerMessage planted(PeerMessage record) {
-            return world.plant == Plant.TELLS_ITS_OWN ? own.told(record) : record;
+        PeerMessage applyDefect(PeerMessage record) {
+            return simulation.defect == InjectedDefect.TELLS_ITS_OWN ? own.withLocalContents(record) : record;
         }
 
         @Override
         PeerMessage.Hello ownHello() {
-            return office.hello();
+            return registryNode.hello();
         }
 
         @Override
         void linked(Neighbour one) {
-            office.connected(one);
+            registryNode.connected(one);
         }
 
         @Override
         void unlinked(Neighbour one) {
-            // what it told holds on
+            // its state remains valid
         }
 
         @Override
         void heardFrom(Neighbour one, PeerMessage record) {
-            office.received(one, record instanceof PeerMessage.StoreAnswer answer ? planted(answer) : record);
+            registryNode.received(one, record instanceof PeerMessage.StoreAnswer answer ? applyDefect(answer) : record);
         }
 
-        private PeerMessage planted(PeerMessage.StoreAnswer answer) {
+        private PeerMessage applyDefect(PeerMessage.StoreAnswer answer) {
             boolean conflict = answer.outcome() == CallOutcome.CONFLICT;
-            if (world.plant == Plant.CONFLICT_SAYS_DONE && conflict) {
+            if (simulation.defect == InjectedDefect.CONFLICT_SAYS_DONE && conflict) {
                 return new PeerMessage.StoreAnswer(
                         answer.callId(), CallOutcome.DONE, answer.version(), answer.term(), answer.digest(), null);
             }
             boolean mine = sent != null && sent.version() == answer.version() && answer.callId() != 0;
-            if (world.plant == Plant.PUBLISHES_ITS_OWN && mine && answer.outcome() != CallOutcome.UNCERTAIN) {
+            if (simulation.defect == InjectedDefect.PUBLISHES_ITS_OWN
+                    && mine
+                    && answer.outcome() != CallOutcome.UNCERTAIN) {
                 ContentDigest digest = ContentDigest.of(sent.body());
                 return new PeerMessage.StoreAnswer(
                         answer.callId(), answer.outcome(), answer.version(), answer.term(), digest, sent.body());
@@ -145,16 +147,16 @@
             });
         }
 
-        /** Writes in order, each synced before the next; what was not when power goes is there or not. */
+        /** Writes in order, each synced before the next; an unsynced write may or may not survive a power loss. */
         private void onDisk(Runnable write) {
             writes.add(write);
-            world.time.after(world.sync(machine), this::written);
+            simulation.time.after(simulation.sync(machine), this::written);
         }
 
         private void written() {
-            long blocked = Math.max(machine.stalledUntil, machine.fullUntil) - world.time.now();
+            long blocked = Math.max(machine.stalledUntil, machine.fullUntil) - simulation.time.now();
             if (blocked > 0) {
-                world.time.after(blocked, this::written);
+                simulation.time.after(blocked, this::written);
             } else if (!writes.isEmpty()) {
                 writes.poll().run();
             }
@@ -163,8 +165,8 @@
         @Override
         void end(boolean power) {
             if (alive) {
-                super.end(power); // first, so that nobody hears of a write any more
-                while (!writes.isEmpty() && !(power && world.random.nextBoolean())) {
+                super.end(power); // first, so that no completion of a write is reported any more
+                while (!writes.isEmpty() && !(power && simulation.random.nextBoolean())) {
                     writes.poll().run();
                 }
                 writes.clear();
@@ -172,78 +174,88 @@
         }
     }
 
-    /** A store. */
+    /** A store process. */
     static final class Store extends Process {
         private static final long FOR_EVER = Long.MAX_VALUE / 4;
-        /** Of the platform's grace, what a store uses at most. */
+        /** The part of the platform's grace period that a store uses at most. */
         private static final long LEAVE_MICROS = 4_500_000;
 
-        private record Save(ReplicaState state, boolean keptToo, long token) {}
+        private record Save(ReplicaState state, boolean withVersion, long token) {}
 
-        final StoreNode teller;
+        final StoreNode storeNode;
         private final Machine.Disk disk;
         private final Deque<Save> saves = new ArrayDeque<>();
 
-        Store(World world, Machine machine, boolean firstBoot) {
-            super(world, machine, Program.STORE);
+        Store(Simulation simulation, Machine machine, boolean firstBoot) {
+            super(simulation, machine, Program.STORE);
             this.disk = machine.disk;
             if (disk.saved == null) {
-                disk.saved = ReplicaState.initial(machine.ip, world.seeds(), firstBoot, world.random.nextLong());
+                disk.saved =
+                        ReplicaState.initial(machine.ip, simulation.seeds(), firstBoot, simulation.random.nextLong());
             }
-            FaultTolerance borne = FaultTolerance.ofMachines(world.losses());
+            FaultTolerance tolerance = FaultTolerance.ofMachines(simulation.losses());
             Location place = new Location(machine.zone, "", true);
-            long seed = world.random.nextLong();
-            Set<String> seeds = world.seeds();
-            this.teller = world.plant == Plant.WAITS_FOR_ANY_DISK
+            long seed = simulation.random.nextLong();
+            Set<String> seeds = simulation.seeds();
+            this.storeNode = simulation.defect == InjectedDefect.WAITS_FOR_ANY_DISK
                     ? new StoreNode(
-                            machine.ip, seeds, disk.saved, borne, place, seed, FOR_EVER, this::now, this, this::save)
-                    : new StoreNode(machine.ip, seeds, disk.saved, borne, place, seed, this::now, this, this::save);
+                            machine.ip,
+                            seeds,
+                            disk.saved,
+                            tolerance,
+                            place,
+                            seed,
+                            FOR_EVER,
+                            this::now,
+                            this,
+                            this::save)
+                    : new StoreNode(machine.ip, seeds, disk.saved, tolerance, place, seed, this::now, this, this::save);
             each(StoreNode.TICK_MICROS, this::tick);
         }
 
         private void tick() {
-            teller.tick();
+            storeNode.tick();
             Set<Target> wanted = new LinkedHashSet<>();
-            teller.peerAddresses().forEach(ip -> wanted.add(new Target(Program.STORE, ip)));
+            storeNode.peerAddresses().forEach(ip -> wanted.add(new Target(Program.STORE, ip)));
             keep(wanted);
         }
 
-        private void save(ReplicaState state, boolean keptToo, long token) {
-            saves.add(new Save(state, keptToo && world.plant != Plant.STATE_WITHOUT_VERSION, token));
-            if (world.plant == Plant.SAVED_TOO_EARLY) {
-                run(() -> after(0, () -> teller.saved(token)));
+        private void save(ReplicaState state, boolean withVersion, long token) {
+            saves.add(new Save(state, withVersion && simulation.defect != InjectedDefect.STATE_WITHOUT_VERSION, token));
+            if (simulation.defect == InjectedDefect.SAVED_TOO_EARLY) {
+                run(() -> after(0, () -> storeNode.saved(token)));
             }
-            world.time.after(world.sync(machine), this::synced);
+            simulation.time.after(simulation.sync(machine), this::synced);
         }
 
         private void synced() {
-            long blocked = Math.max(machine.stalledUntil, machine.fullUntil) - world.time.now();
+            long blocked = Math.max(machine.stalledUntil, machine.fullUntil) - simulation.time.now();
             if (blocked > 0) {
-                world.time.after(blocked, this::synced);
+                simulation.time.after(blocked, this::synced);
                 return;
             }
             Save done = saves.poll();
             if (done != null) {
-                disk.save(done.state, done.keptToo);
-                if (world.plant != Plant.SAVED_TOO_EARLY) {
-                    run(() -> teller.saved(done.token));
+                disk.save(done.state, done.withVersion);
+                if (simulation.defect != InjectedDefect.SAVED_TOO_EARLY) {
+                    run(() -> storeNode.saved(done.token));
                 }
             }
         }
 
-        /** It ends once another member has its place, or nobody is there to take it. */
+        /** Ends once another member has taken its place or none is there to take it. */
         @Override
         void leave() {
-            if (world.plant == Plant.LEAVES_AT_ONCE) {
+            if (simulation.defect == InjectedDefect.LEAVES_AT_ONCE) {
                 end(false);
                 return;
             }
-            teller.leave();
+            storeNode.leave();
             awaitSuccessor(now() + LEAVE_MICROS);
         }
 
         private void awaitSuccessor(long until) {
-            if (teller.mayStop() || now() > until) {
+            if (storeNode.mayStop() || now() > until) {
                 end(false);
             } else {
                 after(StoreNode.TICK_MICROS, () -> awaitSuccessor(until));
@@ -255,10 +267,12 @@
             if (!alive) {
                 return;
             }
-            // What it has not begun to write is gone, and power cuts what is under way.
-            while (machine.stalledUntil <= world.time.now() && !saves.isEmpty() && world.random.nextBoolean()) {
+            // Writes that have not started are lost, and a power loss aborts the one in progress.
+            while (machine.stalledUntil <= simulation.time.now()
+                    && !saves.isEmpty()
+                    && simulation.random.nextBoolean()) {
                 Save done = saves.poll();
-                disk.save(done.state, done.keptToo);
+                disk.save(done.state, done.withVersion);
             }
             saves.clear();
             super.end(power);
@@ -271,17 +285,17 @@
 
         @Override
         void linked(Neighbour one) {
-            teller.up(one);
+            storeNode.up(one);
         }
 
         @Override
         void unlinked(Neighbour one) {
-            teller.down(one);
+            storeNode.down(one);
         }
 
         @Override
         void heardFrom(Neighbour one, PeerMessage record) {
-            teller.received(one, record);
+            storeNode.received(one, record);
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/PlantedRegistry.java
+++ b/src/main/java/gorsemast/simulation/DefectiveRegistry.java
@@ -10,16 +10,17 @@
 import java.util.List;
 import java.util.Map;
 
-/** Planted defects of a registry: what it answers by itself, and what it tells in place of what it knows. */
-final class PlantedRegistry {
+/** Injected defects of a registry: wrong answers, and wrong contents in its updates. */
+final class DefectiveRegistry {
     private static final int UNANSWERED = 4;
 
-    private PlantedRegistry() {}
+    private DefectiveRegistry() {}
 
-    /** Whether a call was answered here, or is never to be. */
-    static boolean answers(Plant plant, RegistryNode office, Command command, RegistryNode.Reply reply) {
-        Entry held = office.state().get(Entry.Kind.CONFIGURATION, "");
-        if (command instanceof Command.Read && plant == Plant.READS_ALONE && held != null) {
+    /** Whether a defect has answered the call or suppresses its answer. */
+    static boolean answers(
+            InjectedDefect defect, RegistryNode registryNode, Command command, RegistryNode.Reply reply) {
+        Entry held = registryNode.state().get(Entry.Kind.CONFIGURATION, "");
+        if (command instanceof Command.Read && defect == InjectedDefect.READS_ALONE && held != null) {
             reply.answer(200, null, held.body());
             return true;
         }
@@ -28,19 +29,19 @@
         }
         long number = replace.configuration().version();
         boolean known = held != null && number <= held.stamp();
-        if (known && plant == Plant.ACKS_ANY_CONTENT) {
+        if (known && defect == InjectedDefect.ACKS_ANY_CONTENT) {
             reply.answer(200, null, null);
             return true;
         }
-        if (known && plant == Plant.REFUSES_AGAIN) {
+        if (known && defect == InjectedDefect.REFUSES_AGAIN) {
             reply.answer(409, "taken", null);
             return true;
         }
-        return plant == Plant.ANSWERS_NOTHING && number % UNANSWERED == 0;
+        return defect == InjectedDefect.ANSWERS_NOTHING && number % UNANSWERED == 0;
     }
 
-    /** Configurations that were ordered here, by their number. */
-    static final class Own {
+    /** Configurations sent to this registry, by version number. */
+    static final class LocalConfigurations {
         private final Map<Long, Configuration> ordered = new HashMap<>();
 
         void ordered(Command command) {
@@ -49,20 +50,20 @@
             }
         }
 
-        /** News with the contents that were ordered here in place of those that hold. */
-        PeerMessage told(PeerMessage record) {
-            if (!(record instanceof PeerMessage.Updates news)) {
+        /** Replaces the contents of an update by those that were sent to this registry. */
+        PeerMessage withLocalContents(PeerMessage record) {
+            if (!(record instanceof PeerMessage.Updates updates)) {
                 return record;
             }
             List<Entry> items = new ArrayList<>();
-            for (Entry item : news.entries()) {
+            for (Entry item : updates.entries()) {
                 Configuration own = item.kind() == Entry.Kind.CONFIGURATION ? ordered.get(item.stamp()) : null;
                 items.add(
                         own == null
                                 ? item
                                 : new Entry(item.kind(), item.key(), item.stamp(), own.body(), item.createdAt()));
             }
-            return new PeerMessage.Updates(news.commandId(), items);
+            return new PeerMessage.Updates(updates.commandId(), items);
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -29,8 +29,8 @@
 import java.util.function.Consumer;
 
 /**
- * An edge's program round its decisions: {@link ProxyNode}, {@link FetchCoordinator}, and a sender for each service. Requests and
- * answers between edges and servers are calls in virtual time where HTTP stands in service.
+ * An edge's process around its decision code: {@link ProxyNode}, {@link FetchCoordinator}, and a sender for each service. Requests and
+ * answers between edges and servers are calls in virtual time in place of HTTP.
  */
 final class Edge extends Process implements ProxyNode.Listener, ObjectSources<String> {
     private static final long OBJECT_MICROS = 1_500_000;
@@ -43,16 +43,16 @@
         FAILED
     }
 
-    /** What a client is told: of an object the version, and whether a copy was served. */
+    /** A client's answer: the object's version, and whether it came from a cached response. */
     record Answer(Told told, long version, boolean copy) {}
 
-    final ProxyNode lookout;
-    private final FetchCoordinator<String> fetching;
+    final ProxyNode proxyNode;
+    private final FetchCoordinator<String> fetchCoordinator;
     private final Map<String, EdgeSender> senders = new HashMap<>();
     boolean leaving;
-    /** The highest version that anybody has seen the effect of in this life. */
+    /** The highest version whose effect was observed since this process started. */
     long seenVersion;
-    /** The content of it. */
+    /** The content of {@link #seenVersion}. */
     String seenContent = "";
 
     private Configuration newest;
@@ -60,55 +60,58 @@
     private Configuration read;
     private String text;
 
-    Edge(World world, Machine machine) {
-        super(world, machine, Program.PROXY);
-        this.lookout =
-                new ProxyNode(machine.ip, machine.zone, 2, 2, wall(), world.seeds(), this::now, this, this::seen, this);
-        this.fetching = new FetchCoordinator<>(
+    Edge(Simulation simulation, Machine machine) {
+        super(simulation, machine, Program.PROXY);
+        this.proxyNode = new ProxyNode(
+                machine.ip, machine.zone, 2, 2, wall(), simulation.seeds(), this::now, this, this::seen, this);
+        this.fetchCoordinator = new FetchCoordinator<>(
                 machine.ip,
                 this::now,
                 new ResponseCache(1 << 20),
-                lookout.homes(),
-                lookout.gossipState(),
-                World.WINDOW_MICROS,
+                proxyNode.homes(),
+                proxyNode.gossipState(),
+                Simulation.WINDOW_MICROS,
                 Double.POSITIVE_INFINITY,
-                world.random.nextLong(),
+                simulation.random.nextLong(),
                 this);
         each(ProxyNode.TICK_MICROS, this::tick);
     }
 
     private void tick() {
-        lookout.tick();
-        fetching.checkInvariants();
-        if (fetching.invariants().total() > 0) {
-            throw new IllegalStateException("objects: " + fetching.invariants().describe());
+        proxyNode.tick();
+        fetchCoordinator.checkInvariants();
+        if (fetchCoordinator.invariants().total() > 0) {
+            throw new IllegalStateException(
+                    "objects: " + fetchCoordinator.invariants().describe());
         }
         Set<Target> wanted = new LinkedHashSet<>();
-        lookout.targetRegistries().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
-        lookout.targetEdges().forEach(ip -> wanted.add(new Target(Program.PROXY, ip)));
+        proxyNode.targetRegistries().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
+        proxyNode.targetEdges().forEach(ip -> wanted.add(new Target(Program.PROXY, ip)));
         keep(wanted);
     }
 
     private Map<String, double[]> seen() {
         Map<String, double[]> all = new HashMap<>();
-        senders.values().forEach(sender -> sender.briefing.collectObservations(all));
+        senders.values().forEach(sender -> sender.moduleConfiguration.collectObservations(all));
         return all;
     }
 
     boolean ready() {
-        boolean planted = world.plant == Plant.NEVER_READY && machine.stops > 0 && machine.zone.equals("a");
-        return lookout.ready() && !leaving && !planted;
+        boolean defective =
+                simulation.defect == InjectedDefect.NEVER_READY && machine.stops > 0 && machine.zone.equals("a");
+        return proxyNode.ready() && !leaving && !defective;
     }
 
-    /** The configuration that a request is handled by; null before the first. */
+    /** The configuration under which a request is handled; null before the first. */
     Configuration goesBy() {
-        Configuration now = lookout.configuration();
+        Configuration now = proxyNode.configuration();
         if (now != newest) {
             before = newest;
             newest = now;
         }
-        boolean planted = world.plant == Plant.GOES_BACK && before != null && world.random.nextInt(50) == 0;
-        return planted ? before : now;
+        boolean defective =
+                simulation.defect == InjectedDefect.GOES_BACK && before != null && simulation.random.nextInt(50) == 0;
+        return defective ? before : now;
     }
 
     /** The content of a configuration, as text. */
@@ -128,18 +131,18 @@
 
     // ---- clients
 
-    /** A request has come whole; {@code answer} is called once, unless the process ends before. */
+    /** Handles a complete request; {@code answer} is called once, unless the process ends before. */
     void request(String attempt, String path, Consumer<Answer> answer) {
-        Configuration now = lookout.configuration();
-        Route route = now == null ? null : now.route(World.HOST, path);
+        Configuration now = proxyNode.configuration();
+        Route route = now == null ? null : now.route(Simulation.HOST, path);
         if (now == null) {
             answer.accept(new Answer(Told.REFUSED, 0, false));
         } else if (route == null) {
             answer.accept(new Answer(Told.NO_ROUTE, 0, false));
         } else if (route.kind() == Route.Kind.CACHEABLE) {
-            object(new ObjectRequest(route, World.HOST, path), answer);
+            object(new ObjectRequest(route, Simulation.HOST, path), answer);
         } else {
-            EdgeSender sender = senders.get(route.selectService(world.random.nextDouble()));
+            EdgeSender sender = senders.get(route.selectService(simulation.random.nextDouble()));
             if (sender == null) {
                 answer.accept(new Answer(Told.REFUSED, 0, false));
                 return;
@@ -160,7 +163,7 @@
     }
 
     private void object(ObjectRequest what, Consumer<Answer> answer) {
-        CachedResponse held = fetching.lookUp(what);
+        CachedResponse held = fetchCoordinator.lookUp(what);
         if (held != null) {
             answer.accept(new Answer(Told.SERVED, version(held), true));
             return;
@@ -172,7 +175,7 @@
                 answer.accept(new Answer(Told.FAILED, 0, false));
             }
         });
-        fetching.request(what, FetchCoordinator.HOP_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
+        fetchCoordinator.request(what, FetchCoordinator.HOP_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
             private void end(Answer with) {
                 if (!over[0]) {
                     over[0] = true;
@@ -207,7 +210,7 @@
 
             @Override
             public void onStillFetching() {
-                throw new IllegalStateException("only edges are told so");
+                throw new IllegalStateException("only edges receive this");
             }
         });
     }
@@ -232,23 +235,26 @@
                 ending.onSilent(false);
             }
         });
-        world.message(machine, question.edge(), Program.PROXY, there -> ((Edge) there)
+        simulation.message(machine, question.edge(), Program.PROXY, there -> ((Edge) there)
                 .asked(
                         question,
-                        (end, version, age, ttl) -> world.message(there.machine, machine.ip, Program.PROXY, here -> {
-                            if (here == this && !over[0]) {
-                                over[0] = true;
-                                switch (end) {
-                                    case COPY -> ending.onResponse(copy(version, question.fetchStartedAt() - age, ttl));
-                                    case USELESS -> ending.onUnusable();
-                                    case IN_HAND -> ending.onStillFetching();
-                                    case REFUSED -> ending.onRefused(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
-                                }
-                            }
-                        })));
+                        (end, version, age, ttl) ->
+                                simulation.message(there.machine, machine.ip, Program.PROXY, here -> {
+                                    if (here == this && !over[0]) {
+                                        over[0] = true;
+                                        switch (end) {
+                                            case COPY ->
+                                                ending.onResponse(copy(version, question.fetchStartedAt() - age, ttl));
+                                            case USELESS -> ending.onUnusable();
+                                            case IN_HAND -> ending.onStillFetching();
+                                            case REFUSED ->
+                                                ending.onRefused(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
+                                        }
+                                    }
+                                })));
     }
 
-    /** How a home answers. */
+    /** How a home edge answers. */
     private enum HomeEnd {
         COPY,
         USELESS,
@@ -267,20 +273,20 @@
 
     private void asked(HomeRequest question, Handed handed) {
         ObjectRequest what = question.object();
-        Configuration now = lookout.configuration();
+        Configuration now = proxyNode.configuration();
         Route route = now == null ? null : now.route(what.host(), what.uri());
         if (route == null || route.kind() != Route.Kind.CACHEABLE) {
             handed.answer(HomeEnd.USELESS);
             return;
         }
-        fetching.request(
+        fetchCoordinator.request(
                 new ObjectRequest(route, what.host(), what.uri()),
                 question.hop(),
                 now() + question.responseTimeout(),
                 new ObjectWaiter<>() {
                     @Override
                     public void onResponse(CachedResponse copy, boolean once) {
-                        boolean inStep = !once && lookout.gossipState().purgeDigest() == question.purgeDigest();
+                        boolean inStep = !once && proxyNode.gossipState().purgeDigest() == question.purgeDigest();
                         if (inStep) {
                             handed.answer(HomeEnd.COPY, version(copy), now() - copy.requestedAt(), copy.ttlMicros());
                         } else {
@@ -322,24 +328,31 @@
         if (sender == null) {
             return false;
         }
-        sender.take("o" + Long.toHexString(world.random.nextLong()), what.route(), what.uri(), giveUp, true, result -> {
-            if (!result.sent()) {
-                ending.onNotSent(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
-                return;
-            }
-            switch (result.code()) {
-                case SERVED ->
-                    ending.onResponse(copy(result.version(), asked, what.route().ttlMicros()));
-                case REFUSED -> ending.onRefused(300_000);
-                case ANSWERED_ERROR -> ending.onUncacheable("500");
-                default -> ending.onFailed();
-            }
-        });
+        sender.take(
+                "o" + Long.toHexString(simulation.random.nextLong()),
+                what.route(),
+                what.uri(),
+                giveUp,
+                true,
+                result -> {
+                    if (!result.sent()) {
+                        ending.onNotSent(FetchCoordinator.DEFAULT_RETRY_AFTER_MICROS);
+                        return;
+                    }
+                    switch (result.code()) {
+                        case SERVED ->
+                            ending.onResponse(
+                                    copy(result.version(), asked, what.route().ttlMicros()));
+                        case REFUSED -> ending.onRefused(300_000);
+                        case ANSWERED_ERROR -> ending.onUncacheable("500");
+                        default -> ending.onFailed();
+                    }
+                });
         return true;
     }
 
     boolean another(String service) {
-        return fetching.tryAcquirePermit(service);
+        return fetchCoordinator.tryAcquirePermit(service);
     }
 
     @Override
@@ -349,17 +362,20 @@
 
     @Override
     public int fetcherCount(String service) {
-        return EdgeSharing.fetcherCount(lookout.homes().edgeCount(), World.CONNECTIONS, serverRatePerSecond(service));
+        return EdgeSharing.fetcherCount(
+                proxyNode.homes().edgeCount(), Simulation.CONNECTIONS, serverRatePerSecond(service));
     }
 
     @Override
     public double serverRatePerSecond(String service) {
-        Configuration now = lookout.configuration();
+        Configuration now = proxyNode.configuration();
         Configuration.Service known = now == null ? null : now.services().get(service);
-        return known == null || world.plant == Plant.NO_CEILING ? Double.POSITIVE_INFINITY : known.ratePerSecond();
+        return known == null || simulation.defect == InjectedDefect.NO_CEILING
+                ? Double.POSITIVE_INFINITY
+                : known.ratePerSecond();
     }
 
-    // ---- what the lookout tells
+    // ---- callbacks of the proxy node
 
     @Override
     public void configurationChanged(Configuration now, int edges) {
@@ -369,15 +385,17 @@
                 senders.put(
                         service,
                         new EdgeSender(
-                                this, service, new ModuleConfiguration(machine.ip, 100, World.BUDGET, 0, of, edges)));
+                                this,
+                                service,
+                                new ModuleConfiguration(machine.ip, 100, Simulation.BUDGET, 0, of, edges)));
             } else {
                 sender.retune(of, edges);
             }
             senders.get(service)
-                    .briefing
+                    .moduleConfiguration
                     .setConnectionLimit(
-                            World.CONNECTIONS,
-                            service.equals(World.OBJECTS) ? Math.min(edges, fetcherCount(service)) : edges);
+                            Simulation.CONNECTIONS,
+                            service.equals(Simulation.OBJECTS) ? Math.min(edges, fetcherCount(service)) : edges);
         });
     }
 
@@ -387,7 +405,7 @@
             EdgeSender sender = senders.get(service);
             if (sender != null) {
                 List<ServerInfo> told = known;
-                if (world.plant == Plant.SENDS_TO_LEAVING) {
+                if (simulation.defect == InjectedDefect.SENDS_TO_LEAVING) {
                     told = known.stream()
                             .map(one -> one.state() == ServerInfo.State.DRAINING
                                     ? one.withState(ServerInfo.State.READY, one.seq())
@@ -401,7 +419,7 @@
 
     @Override
     public void purged(Entry purge) {
-        fetching.applyPurge(purge);
+        fetchCoordinator.applyPurge(purge);
     }
 
     @Override
@@ -418,27 +436,27 @@
 
     @Override
     PeerMessage.Hello ownHello() {
-        return lookout.hello();
+        return proxyNode.hello();
     }
 
     @Override
     void linked(Neighbour one) {
-        lookout.up(one);
+        proxyNode.up(one);
     }
 
     @Override
     void unlinked(Neighbour one) {
-        // what it told holds on
+        // its state remains valid
     }
 
     @Override
     void heardFrom(Neighbour one, PeerMessage record) {
         boolean mends = record instanceof PeerMessage.Digest || record instanceof PeerMessage.Summary;
-        if (world.plant == Plant.MENDS_NOTHING
-                && lookout.ready()
-                && (mends || record instanceof PeerMessage.Updates && world.random.nextBoolean())) {
+        if (simulation.defect == InjectedDefect.MENDS_NOTHING
+                && proxyNode.ready()
+                && (mends || record instanceof PeerMessage.Updates && simulation.random.nextBoolean())) {
             return;
         }
-        lookout.received(one, record);
+        proxyNode.received(one, record);
     }
 }
--- a/src/main/java/gorsemast/simulation/EdgeConnections.java
+++ b/src/main/java/gorsemast/simulation/EdgeConnections.java
@@ -9,16 +9,16 @@
 import java.util.Map;
 
 /**
- * One edge's connections to servers in virtual time. Whose an answer is and what may have run is decided by
- * {@link ConnectionState}, as over sockets; what may run once keeps its last byte back as there.
+ * One edge's connections to servers in virtual time. As over sockets, {@link ConnectionState} decides which request an answer
+ * belongs to and what may have run, and non-idempotent requests hold back their last byte.
  */
 final class EdgeConnections {
-    /** Told once how an attempt ended; {@code reply} where it was answered. */
+    /** Called once with how an attempt ended; {@code reply} is null unless it was answered. */
     interface Ending {
         void ended(Code code, Servers.Reply reply);
     }
 
-    /** An attempt that is on its way. */
+    /** An attempt in progress. */
     interface Attempt {
         void cancel();
     }
@@ -32,7 +32,7 @@
         this.edge = edge;
     }
 
-    /** Sends it, on a connection that is idle or on a new one. */
+    /** Sends a request on an idle connection or a new one. */
     Attempt send(String address, Servers.Request message, long wait, Ending ending) {
         Connection connection = free(message);
         connection.carry(address, message, ending);
@@ -51,19 +51,19 @@
         return new Connection();
     }
 
-    /** The rule, or one with a defect. */
+    /** The production rule, or one with the injected defect. */
     private ConnectionState state() {
-        Plant plant = edge.world.plant;
+        InjectedDefect defect = edge.simulation.defect;
         return new ConnectionState() {
             @Override
             public Disposition head(ResponseMatch whose, boolean interim, boolean notRun, boolean served) {
-                boolean any = plant == Plant.TAKES_NAMELESS_ANSWERS && whose == ResponseMatch.UNIDENTIFIED;
+                boolean any = defect == InjectedDefect.TAKES_NAMELESS_ANSWERS && whose == ResponseMatch.UNIDENTIFIED;
                 return super.head(any ? ResponseMatch.BY_ID : whose, interim, notRun, served);
             }
 
             @Override
             public boolean mayHaveRun() {
-                return plant != Plant.RESET_NEVER_RAN && super.mayHaveRun();
+                return defect != InjectedDefect.RESET_NEVER_RAN && super.mayHaveRun();
             }
         };
     }
@@ -73,16 +73,16 @@
         private final ConnectionState state = state();
         private Servers.Request message;
         private Ending ending;
-        private boolean kept;
+        private boolean reused;
         private boolean open = true;
 
         void carry(String address, Servers.Request next, Ending told) {
             state.assign(next.attempt(), next.unsafe(), false);
             message = next;
             ending = told;
-            boolean forgotten = kept && edge.world.servers.forgets(address);
+            boolean forgotten = reused && edge.simulation.servers.forgets(address);
             if (forgotten) {
-                edge.after(edge.world.ways.way(400), this::lost);
+                edge.after(edge.simulation.links.randomLatency(400), this::lost);
             }
             if (next.unsafe()) {
                 edge.after(HOLD_MICROS, () -> leaves(address, told, forgotten));
@@ -97,14 +97,14 @@
             }
             state.lastByteSent();
             if (!forgotten) {
-                edge.world.referee.sent(edge, message);
-                edge.world.servers.send(
+                edge.simulation.requestChecker.sent(edge, message);
+                edge.simulation.servers.send(
                         edge.machine,
                         address,
                         message,
                         reply -> edge.run(() -> take(reply)),
                         () -> edge.run(() -> {
-                            if (ending == told && kept) {
+                            if (ending == told && reused) {
                                 lost();
                             } else if (ending == told) {
                                 end(Code.CONNECT_FAILED, null, state.abandoned());
@@ -115,7 +115,7 @@
 
         private void take(Servers.Reply reply) {
             if (!open) {
-                return; // it was closed: this reaches nobody
+                return; // the connection is closed: the answer is lost
             }
             if (reply.answer() == Servers.Answer.RESET) {
                 lost();
@@ -140,13 +140,13 @@
             }
             state.part(true);
             if (state.readDone(false) == ConnectionState.ReadOutcome.WHOLE) {
-                edge.world.referee.owns(edge, message, reply);
+                edge.simulation.requestChecker.checkOwnAnswer(edge, message, reply);
                 end(code, reply, state.completed(true));
             }
         }
 
         private void lost() {
-            Code code = state.mayHaveRun() ? Code.RESET : kept ? Code.NOT_SENT : Code.CONNECT_FAILED;
+            Code code = state.mayHaveRun() ? Code.RESET : reused ? Code.NOT_SENT : Code.CONNECT_FAILED;
             end(code, null, state.abandoned());
         }
 
@@ -158,7 +158,7 @@
 
         private void end(Code code, Servers.Reply reply, boolean again) {
             open = again;
-            kept = true;
+            reused = true;
             Ending told = ending;
             ending = null;
             if (again) {
--- a/src/main/java/gorsemast/simulation/EdgeSender.java
+++ b/src/main/java/gorsemast/simulation/EdgeSender.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** One service's decision module at an emulated edge; what it wants done goes to {@link Servers} in virtual time. */
+/** One service's decision module at an emulated edge; its actions reach {@link Servers} in virtual time. */
 final class EdgeSender implements Balancer.Actions {
     /** How a request ended. */
     enum End {
@@ -27,7 +27,7 @@
         FAILED
     }
 
-    /** An end, with an object's version where it was served, and whether an attempt has gone out. */
+    /** How a request ended, with the object's version if it was served, and whether an attempt was sent. */
     record Result(End code, long version, boolean sent) {}
 
     private static final long BACKSTOP_MICROS = CallState.ANSWER_RESERVE_MICROS;
@@ -64,7 +64,7 @@
         }
     }
 
-    final ModuleConfiguration briefing;
+    final ModuleConfiguration moduleConfiguration;
     private final Edge edge;
     private final EdgeConnections connections;
     private final String service;
@@ -73,39 +73,39 @@
     private final Map<String, Exchange> open = new HashMap<>();
     private long sequence;
 
-    EdgeSender(Edge edge, String service, ModuleConfiguration briefing) {
+    EdgeSender(Edge edge, String service, ModuleConfiguration moduleConfiguration) {
         this.edge = edge;
         this.connections = new EdgeConnections(edge);
         this.service = service;
-        this.briefing = briefing;
+        this.moduleConfiguration = moduleConfiguration;
         this.turns = new RunToCompletionQueue(fault -> {
             throw fault;
         });
-        turns.event(() -> module.start(edge.now(), edge.world.random.nextLong(), briefing.settings()));
+        turns.event(() -> module.start(edge.now(), edge.simulation.random.nextLong(), moduleConfiguration.settings()));
     }
 
     void retune(List<Route> routes, int edges) {
-        if (briefing.updateRoutes(routes, edges)) {
-            turns.event(() -> module.reconfigure(edge.now(), briefing.settings()));
+        if (moduleConfiguration.updateRoutes(routes, edges)) {
+            turns.event(() -> module.reconfigure(edge.now(), moduleConfiguration.settings()));
         }
     }
 
-    void servers(Collection<ServerInfo> news, Map<String, Long> coldUntil) {
-        briefing.updateServers(edge.now(), news, coldUntil, zone -> 0);
+    void servers(Collection<ServerInfo> updates, Map<String, Long> coldUntil) {
+        moduleConfiguration.updateServers(edge.now(), updates, coldUntil, zone -> 0);
         tell();
     }
 
     private void tell() {
-        turns.event(() -> module.servers(edge.now(), ListKind.FULL, briefing.weightedServers(edge.now())));
+        turns.event(() -> module.servers(edge.now(), ListKind.FULL, moduleConfiguration.weightedServers(edge.now())));
     }
 
     void heard(Map<String, double[]> pooled) {
-        if (briefing.applyPooledObservations(edge.now(), pooled)) {
+        if (moduleConfiguration.applyPooledObservations(edge.now(), pooled)) {
             tell();
         }
     }
 
-    /** @param counted whether its first attempt has room at the service's ceiling already */
+    /** @param counted whether its first attempt already counts against the service's rate limit */
     void take(String attempt, Route route, String path, long giveUp, boolean counted, Consumer<Result> client) {
         Exchange x = new Exchange("r" + sequence++, attempt, route, path, giveUp, counted, state(route), client);
         open.put(x.id, x);
@@ -118,10 +118,10 @@
                 });
             }
         });
-        int number = briefing.classNumber(route);
+        int number = moduleConfiguration.classNumber(route);
         if (number < 0) {
-            number = briefing.addClass(route);
-            turns.event(() -> module.reconfigure(edge.now(), briefing.settings()));
+            number = moduleConfiguration.addClass(route);
+            turns.event(() -> module.reconfigure(edge.now(), moduleConfiguration.settings()));
         }
         Balancer.Request request = new Balancer.Request(
                 x.id,
@@ -133,10 +133,10 @@
         turns.event(() -> module.request(edge.now(), request));
     }
 
-    /** Planted defects take out this lock too, which would hide them from the referee. */
+    /** Injected defects also disable this guard, which would hide them from the checker. */
     private CallState state(Route route) {
-        Plant plant = edge.world.plant;
-        boolean open = plant == Plant.REPEATS_ALL || plant == Plant.REFUSES_WHAT_RAN;
+        InjectedDefect defect = edge.simulation.defect;
+        boolean open = defect == InjectedDefect.REPEATS_ALL || defect == InjectedDefect.REFUSES_WHAT_RAN;
         return new CallState(route.isRepeatable() || open);
     }
 
@@ -162,7 +162,7 @@
         Exchange x = open.get(request);
         int attempt = x.state.nextAttempt();
         long sentAt = edge.now();
-        ServerInstance server = briefing.server(id);
+        ServerInstance server = moduleConfiguration.server(id);
         long wait = Math.min(until, x.giveUp - BACKSTOP_MICROS) - sentAt;
         boolean counted = attempt == 0 && x.counted;
         if (!x.state.maySend() || server == null || wait <= 0 || !counted && !edge.another(service)) {
@@ -174,7 +174,7 @@
                 + server.dial().getPort();
         Servers.Request message = new Servers.Request(x.attempt, id, x.path, !x.route.isRepeatable(), service);
         x.out = connections.send(address, message, wait, (code, reply) -> {
-            if (code == Code.OK && briefing.recordAnswer(edge.now(), id, x.route, edge.now() - sentAt)) {
+            if (code == Code.OK && moduleConfiguration.recordAnswer(edge.now(), id, x.route, edge.now() - sentAt)) {
                 tell();
             }
             ended(x, attempt, sentAt, code, reply == null ? 0 : reply.version());
@@ -189,7 +189,9 @@
             conclude(x, End.SERVED, version);
         }
         x.erred |= code == Code.ERROR;
-        Code heard = edge.world.plant == Plant.REPEATS_ALL && code.mayHaveRun && code != Code.OK ? Code.FULL : code;
+        Code heard = edge.simulation.defect == InjectedDefect.REPEATS_ALL && code.mayHaveRun && code != Code.OK
+                ? Code.FULL
+                : code;
         told(x, attempt, sentAt, heard);
     }
 
@@ -209,7 +211,7 @@
 
     @Override
     public void fail(String request) {
-        answer(request, edge.world.plant == Plant.REFUSES_WHAT_RAN ? End.REFUSED : End.FAILED);
+        answer(request, edge.simulation.defect == InjectedDefect.REFUSES_WHAT_RAN ? End.REFUSED : End.FAILED);
     }
 
     private void answer(String request, End end) {
@@ -245,7 +247,7 @@
 
     @Override
     public void subscribe() {
-        // the list comes by itself
+        // the list is pushed without a subscription
     }
 
     @Override
@@ -256,6 +258,6 @@
 
     @Override
     public void log(String text) {
-        edge.world.say(edge.machine.ip + " " + service + ": " + text);
+        edge.simulation.logEvent(edge.machine.ip + " " + service + ": " + text);
     }
 }
--- a/src/main/java/gorsemast/simulation/Trouble.java
+++ b/src/main/java/gorsemast/simulation/Fault.java
@@ -3,19 +3,19 @@
 import java.util.Locale;
 
 /**
- * Something that happens at a time of a day, from the start of traffic on.
+ * A fault or planned operation at a given time after the start of traffic.
  *
  * @param at in microseconds
- * @param span how long it lasts, in microseconds, where it lasts
- * @param pick which of the machines, servers or objects that fit: the same number picks the same; see {@link #HOW}
+ * @param span its duration in microseconds, if it has one
+ * @param pick selects among the eligible machines, servers or objects; see {@link #HOW}
  */
-public record Trouble(Kind kind, long at, long span, int pick) {
+public record Fault(Kind kind, long at, long span, int pick) {
     /**
-     * {@code pick / HOW} chooses how: of a cut, {@link Ways.Cut}; of what strikes after an acknowledgement, {@link Acknowledged}.
+     * {@code pick / HOW} selects the variant: of a cut, {@link NetworkLinks.Cut}; of a fault after an acknowledgement, {@link AcknowledgedChange}.
      */
     public static final int HOW = 1_000;
 
-    /** What happens; the first group is planned work. */
+    /** The kinds; the first group is planned work. */
     public enum Kind {
         /** The configuration changes. */
         CONFIG,
@@ -35,7 +35,7 @@
         READ,
         /** Seven of ten answers to operators are lost. */
         LOSE_ACKS,
-        /** A broken one is sent, one of the version that holds or of an older one, or an earlier one again. */
+        /** An invalid change is sent, or one with the current or an older version, or an earlier one again. */
         BAD_CONFIG,
         /** An object changes and is purged, by path or tag. */
         PURGE,
@@ -65,23 +65,23 @@
         REPLACE_ALL,
         /** A further core machine comes, empty. */
         SPARE_CORE,
-        /** A server ends without a word. */
+        /** A server crashes. */
         CRASH_SERVER,
-        /** It does, and its address goes to another service. */
+        /** A server crashes and its address is reused by another service. */
         REUSE,
         /** Servers of one service run requests and lose the answers of some. */
         LOSE_ANSWERS,
-        /** Servers of one service answer late, twice, without a name, or reset; and forget idle connections. */
+        /** Servers of one service answer late, twice, without an id, or reset; and drop idle connections. */
         CONFUSED,
         /** A server turns slow. */
         SLOW_SERVER,
         /** An edge's process is killed. */
         KILL_EDGE,
-        /** Most edges are. */
+        /** Most edges' processes are killed. */
         HERD,
-        /** A core machine's processes are. */
+        /** A core machine's processes are killed. */
         KILL_CORE,
-        /** All of the core's are. */
+        /** All processes of the core are killed. */
         KILL_CORES,
         /** A core machine loses power. */
         POWER_CORE,
@@ -91,31 +91,31 @@
         WIPE_AFTER_ACK,
         /** All core machines lose power right after one of them acknowledges something. */
         POWER_ALL_AFTER_ACK,
-        /** All core machines lose power 5 to 400 ms after an order is sent, acknowledged or not. */
+        /** All core machines lose power 5 to 400 ms after a change is sent, acknowledged or not. */
         POWER_ALL_TIMED,
         /** A core machine loses power and disk. */
         WIPE_CORE,
         /** One loses its disk and all others their power, right after one acknowledges something. */
         WIPE_REST_POWER,
-        /** An edge stands still. */
+        /** An edge freezes. */
         FREEZE_EDGE,
-        /** All edges do, for as long as half of the span to all of it. */
+        /** All edges freeze, each for half of the span to all of it. */
         FREEZE_EDGES,
-        /** A core machine does. */
+        /** A core machine freezes. */
         FREEZE_CORE,
         /** An edge reaches no core machine. */
         CUT_EDGE,
         /** A core machine reaches no other one. */
         CUT_CORE,
-        /** It hears the others, and they do not hear it. */
+        /** A core machine receives from the others, and they do not receive from it. */
         CUT_ONE_WAY,
-        /** Of one registry only the others and edges hear at once: what the others tell is held up, and what stores tell is not. */
+        /** Updates of all registries but one are blocked; what stores send still arrives. */
         HOLD_NEWS,
-        /** They hear it, and it does not hear them. */
+        /** The others receive from a core machine, and it does not receive from them. */
         CUT_ONE_WAY_IN,
         /** The machine whose store leads reaches no other one. */
         CUT_LEADER,
-        /** It does not hear them, or they do not hear it. */
+        /** The primary's machine is cut off from the others in one direction. */
         CUT_LEADER_ONE_WAY,
         /** A core machine and the edges of its zone are on one side, all others on the other; an edge of each is restarted. */
         CUT_SIDE,
@@ -125,25 +125,25 @@
         CUT_BOTH,
         /** A core machine is cut off, new lists begin with it, and edges are restarted. */
         CUT_SEEDS,
-        /** What two core machines send each other comes late, by up to some seconds. */
+        /** What two core machines send each other is delayed by up to some seconds. */
         HOLD_LINK,
-        /** What an edge and all core machines send each other comes late, by up to some seconds. */
+        /** What an edge and all core machines send each other is delayed by up to some seconds. */
         HOLD_EDGE,
         /** All machines of a zone lose power. */
         ZONE_POWER,
         /** All machines of a zone are cut off from the others. */
         ZONE_CUT,
-        /** A core machine's disk takes long for each write. */
+        /** A core machine's disk is slow at each write. */
         SLOW_DISK,
-        /** A core machine's disk has no room. */
+        /** A core machine's disk is full. */
         FULL_DISK,
-        /** A core machine's disk finishes nothing. */
+        /** A core machine's disk completes no write. */
         STALL,
         /** The time of day jumps on a core machine and an edge. */
         CLOCK
     }
 
-    /** Everything that may end a day; where nothing else is said, right after a change was acknowledged. */
+    /** The closing fault of a scenario, right after a change was acknowledged unless stated otherwise. */
     public enum Closing {
         NONE,
         KILL_ALL,
@@ -151,7 +151,7 @@
         WIPE,
         /** Power is lost right after a purge or a drain was acknowledged. */
         POWER_ANY,
-        /** Power is lost 5 to 400 ms after an order was sent, acknowledged or not. */
+        /** Power is lost 5 to 400 ms after a change was sent, acknowledged or not. */
         POWER_TIMED
     }
 
--- a/src/main/java/gorsemast/simulation/LinkTraffic.java
+++ b/src/main/java/gorsemast/simulation/LinkTraffic.java
@@ -2,21 +2,21 @@
 
 import gorsemast.peer.PeerMessage.Program;
 
-/** Bytes and records that went over links, by the sender's and the receiver's program, since the last reset. One thread. */
+/** Counts bytes and records sent over links by the sender's and the receiver's program since the last reset. Single-threaded. */
 final class LinkTraffic {
     private static final int PROGRAMS = Program.values().length;
 
     private final long[] bytes = new long[PROGRAMS * PROGRAMS];
     private final long[] records = new long[PROGRAMS * PROGRAMS];
 
-    /** Counts one record with its length before it. */
+    /** Counts one record with its length prefix. */
     void count(Program from, Program to, int length) {
         int pair = pair(from, to);
         bytes[pair] += length + Integer.BYTES;
         records[pair]++;
     }
 
-    /** Begins anew. */
+    /** Resets all counts to zero. */
     void reset() {
         java.util.Arrays.fill(bytes, 0);
         java.util.Arrays.fill(records, 0);
--- a/src/main/java/gorsemast/simulation/Machine.java
+++ b/src/main/java/gorsemast/simulation/Machine.java
@@ -5,19 +5,19 @@
 import java.util.List;
 
 /**
- * One machine: whether it has power, stands still, and since when nothing has troubled it. Its disk survives its processes;
- * of what was not synced when power goes, a part is there. One thread; times in microseconds of the world's clock.
+ * A simulated machine: its power, freezes and active faults. Its disk survives its processes; of what was not synced when
+ * power is lost, a part survives. Single-threaded; times in microseconds of the simulation's clock.
  */
 final class Machine {
-    /** What is on its disk; null for nothing. */
+    /** Disk contents; null fields stand for missing files. */
     static final class Disk {
         byte[] known;
         final List<byte[]> journal = new ArrayList<>();
         ReplicaState saved;
 
         /** Replaces the state, and the version where that is saved too. */
-        void save(ReplicaState state, boolean keptToo) {
-            saved = keptToo || saved == null
+        void save(ReplicaState state, boolean withVersion) {
+            saved = withVersion || saved == null
                     ? state
                     : new ReplicaState(state.self(), state.promised(), state.view(), saved.stored());
         }
@@ -29,24 +29,24 @@
     final List<Process> processes = new ArrayList<>();
     Disk disk = new Disk();
     boolean power = true;
-    boolean gone;
-    /** A stalled disk finishes nothing until then. */
+    boolean removed;
+    /** Until then the disk is stalled and completes no write. */
     long stalledUntil;
 
-    /** A full disk takes nothing until then. */
+    /** Until then the disk is full and accepts no write. */
     long fullUntil;
-    /** A write takes so many times as long as usual. */
+    /** Factor by which writes are slowed. */
     int diskTimes = 1;
-    /** When a way from or to it was last cut or joined. */
+    /** When a link from or to it was last cut or restored. */
     long pathChanged;
     /** How often its processes have been stopped. */
     int stops;
 
     long frozenUntil;
-    /** Of the time of day, which only starts read. */
+    /** Error of the wall clock, which is read only at start-up. */
     long clockError;
 
-    private int troubles;
+    private int activeFaults;
     private long calmSince;
 
     Machine(String ip, String zone, boolean core, long now) {
@@ -56,19 +56,19 @@
         this.calmSince = now;
     }
 
-    /** Something troubles it from now on, until {@link #calm}. */
-    void trouble() {
-        troubles++;
+    /** A fault affects the machine until {@link #endFault}. */
+    void beginFault() {
+        activeFaults++;
     }
 
-    /** One trouble is over. */
-    void calm(long now) {
-        troubles--;
+    /** One fault has ended. */
+    void endFault(long now) {
+        activeFaults--;
         calmSince = now;
     }
 
-    /** For so long nothing has troubled it; 0 while something does. */
+    /** For how long no fault has affected it; 0 during a fault. */
     long calmFor(long now) {
-        return troubles > 0 || gone ? 0 : now - calmSince;
+        return activeFaults > 0 || removed ? 0 : now - calmSince;
     }
 }
