--- a/src/main/java/gorsemast/simulation/Operator.java
+++ b/src/main/java/gorsemast/simulation/Operator.java
@@ -9,27 +9,28 @@
 import java.util.Locale;
 
 /**
- * Those who send orders and read the configuration back: several operators, up to {@link #MOST} orders under way at once. An
- * order without a clear answer is sent again unchanged, to another machine. One thread; times in microseconds of the world's clock.
+ * Operators that send changes and read the configuration, with up to {@link #MOST} changes in progress at once. A change
+ * without a clear answer is resent unchanged to another machine. Single-threaded; times in microseconds of the simulation's
+ * clock.
  */
 final class Operator {
-    /** Orders under way at once. */
+    /** Maximum number of changes in progress. */
     static final int MOST = 8;
-    /** So long an order may take in one stretch in which the core is settled and no link in trouble. */
+    /** How long a change may take while the core is settled without interruption and no link has a fault. */
     static final long ACK_MICROS = 4_000_000;
 
     static final long CALL_MICROS = 1_000_000;
     private static final long ROUTE_MICROS = 3_000;
     private static final int ROUTES = 4;
-    private static final long LOOK_MICROS = 250_000;
+    private static final long CHECK_INTERVAL_MICROS = 250_000;
     private static final long FIRST_PAUSE = 50_000;
     private static final long LONGEST_PAUSE = 500_000;
     private static final int TRIES_OF_4XX = 3;
 
-    /** What is ordered; {@code number} 0 where it is no configuration. */
+    /** The text of a change; {@code number} is 0 unless it is a configuration. */
     private record Text(String name, String path, String body, long number) {}
 
-    /** One operator's order, until it has a clear answer or is given up. */
+    /** One operator's change, until it has a clear answer or is abandoned. */
     private final class Order {
         private final Text text;
         private final long until;
@@ -48,9 +49,9 @@
         }
 
         private void begin() {
-            begun = world.time.now();
+            begun = simulation.time.now();
             underWay++;
-            world.say("operator sends " + text.name);
+            simulation.logEvent("operator sends " + text.name);
             send();
             look();
         }
@@ -59,22 +60,22 @@
             if (over) {
                 return;
             }
-            if (world.time.now() - begun > until) {
+            if (simulation.time.now() - begun > until) {
                 end();
                 return;
             }
             if (text.number > 0) {
-                world.contents.sent(text.number, text.body);
+                simulation.configurationChecker.sent(text.number, text.body);
             }
-            List<Machine> cores = world.known();
+            List<Machine> cores = simulation.known();
             Machine to = cores.get(Math.floorMod(at, cores.size()));
-            long sentAt = world.time.now();
-            world.outside.call(
+            long sentAt = simulation.time.now();
+            simulation.externalCalls.call(
                     to,
-                    new Outside.Call("POST", text.path, text.body, CALL_MICROS),
+                    new ExternalCalls.Call("POST", text.path, text.body, CALL_MICROS),
                     status -> {
                         if (text.number > 0) {
-                            world.contents.answered(text.number, text.body, status, sentAt);
+                            simulation.configurationChecker.answered(text.number, text.body, status, sentAt);
                         }
                     },
                     (status, why) -> answered(to, status, why));
@@ -88,19 +89,19 @@
             boolean clear = status == 400 || status == 409 || status == 412 || status == 413 || status == 422;
             refusals += refusal ? 1 : 0;
             if (status / 100 == 2) {
-                world.took(Outcome.ACKNOWLEDGED, world.time.now() - begun);
-                world.say(text.name + " is acknowledged by " + by.ip);
+                simulation.recordDuration(Outcome.ACKNOWLEDGED, simulation.time.now() - begun);
+                simulation.logEvent(text.name + " is acknowledged by " + by.ip);
                 end();
                 acknowledged.run();
             } else if (refusal && text.number > 0 && (clear || refusals >= TRIES_OF_4XX)) {
-                world.say(text.name + " is refused by " + by.ip + " with " + status);
+                simulation.logEvent(text.name + " is refused by " + by.ip + " with " + status);
                 end();
-                world.contents.refused(text.number, text.body);
+                simulation.configurationChecker.refused(text.number, text.body);
             } else if (refusal && text.number == 0 && status != 409) {
-                throw new Broken("CONFIG", "a valid order is refused: " + why);
+                throw new Violation("CONFIG", "a valid change is refused: " + why);
             } else {
                 at++;
-                world.time.after(Math.min(LONGEST_PAUSE, FIRST_PAUSE << Math.min(4, tries++)), this::send);
+                simulation.time.after(Math.min(LONGEST_PAUSE, FIRST_PAUSE << Math.min(4, tries++)), this::send);
             }
         }
 
@@ -113,30 +114,30 @@
             }
         }
 
-        /** Held to be answered in one stretch in which the core is settled. */
+        /** Checks that the change is answered in time while the core is settled. */
         private void look() {
-            long most = ACK_MICROS + ROUTE_MICROS * (ROUTES + world.extraRoutes);
-            if (Math.min(world.contact.stretch(), world.time.now() - begun) > most) {
+            long most = ACK_MICROS + ROUTE_MICROS * (ROUTES + simulation.extraRoutes);
+            if (Math.min(simulation.connectivity.calmFor(), simulation.time.now() - begun) > most) {
                 if (!over) {
-                    throw new Broken(
+                    throw new Violation(
                             "ACK", text.name + " has no answer after " + most / 1_000 + " ms with the core settled");
                 }
             }
             if (!over) {
-                world.time.after(LOOK_MICROS, this::look);
+                simulation.time.after(CHECK_INTERVAL_MICROS, this::look);
             }
         }
     }
 
-    private final World world;
+    private final Simulation simulation;
     private final List<Text> acknowledged = new ArrayList<>();
     private final Deque<Order> waiting = new ArrayDeque<>();
     private int underWay;
     private long version;
     private int contents;
 
-    Operator(World world) {
-        this.world = world;
+    Operator(Simulation simulation) {
+        this.simulation = simulation;
     }
 
     // ---- configurations
@@ -144,7 +145,7 @@
     /** A valid body; two with one version and different {@code content} differ in what they do. */
     String configuration(long version, int content) {
         StringBuilder more = new StringBuilder();
-        for (int i = 0; i < world.extraRoutes; i++) {
+        for (int i = 0; i < simulation.extraRoutes; i++) {
             more.append(',')
                     .append(rule("extra-" + i, "/extra/" + i + "/", "idempotent", "orders", 200))
                     .append('}');
@@ -152,12 +153,12 @@
         String other = content % 2 == 0 ? "orders" : "other";
         return "{\"configVersion\":\"" + String.format(Locale.ROOT, "%08x", version)
                 + "\",\"backendTable\":[{\"name\":\"objects\","
-                + "\"healthPath\":\"/h\",\"maxConnections\":130,\"ratePerS\":" + World.RATE
+                + "\"healthPath\":\"/h\",\"maxConnections\":130,\"ratePerS\":" + Simulation.RATE
                 + "},{\"name\":\"orders\",\"healthPath\":\"/h\","
                 + "\"maxConnections\":130},{\"name\":\"other\",\"healthPath\":\"/h\",\"maxConnections\":130}],\"virtualHosts\":["
-                + "{\"hostname\":\"" + World.HOST + "\",\"pathRules\":["
+                + "{\"hostname\":\"" + Simulation.HOST + "\",\"pathRules\":["
                 + rule("objects", "/o/", "cacheable", "objects", 200)
-                + ",\"cacheTtl\":\"" + World.TTL_MICROS / 1_000 + "ms\"},"
+                + ",\"cacheTtl\":\"" + Simulation.TTL_MICROS / 1_000 + "ms\"},"
                 + rule("safe", "/s/", "idempotent", "orders", 200) + "},"
                 + rule("pay", "/p/", "non_idempotent", "orders", 200) + "},"
                 + rule("moves", "/m/", "idempotent", other, 200 + content) + "}" + more + "]}]}";
@@ -180,12 +181,12 @@
     }
 
     private long next() {
-        version += 1 + world.random.nextInt(3);
+        version += 1 + simulation.random.nextInt(3);
         return version;
     }
 
     private int somewhere() {
-        return world.random.nextInt(1_000);
+        return simulation.random.nextInt(1_000);
     }
 
     private void order(Text text, int at, long within, Runnable then) {
@@ -199,7 +200,7 @@
 
     private void change(Text text, int at, Runnable then) {
         order(text, at, Long.MAX_VALUE, () -> {
-            world.contents.acknowledged(text.number, text.body);
+            simulation.configurationChecker.acknowledged(text.number, text.body);
             acknowledged.add(text);
             then.run();
         });
@@ -210,7 +211,7 @@
         change(change(next()), somewhere(), then);
     }
 
-    /** Two operators send contents of their own under one number at once; what was acknowledged is sent again. */
+    /** Two operators send different contents under one number at once; what was acknowledged is resent. */
     void race() {
         long number = next();
         for (int i = 0; i < 2; i++) {
@@ -218,8 +219,8 @@
             change(
                     text,
                     somewhere(),
-                    () -> world.time.after(
-                            world.random.nextLong(ACK_MICROS), () -> change(text, somewhere(), () -> {})));
+                    () -> simulation.time.after(
+                            simulation.random.nextLong(ACK_MICROS), () -> change(text, somewhere(), () -> {})));
         }
     }
 
@@ -228,7 +229,7 @@
         long number = next();
         int at = somewhere();
         change(change(number), at, () -> {});
-        world.time.after(after, () -> change(change(number), at + 1, () -> {}));
+        simulation.time.after(after, () -> change(change(number), at + 1, () -> {}));
     }
 
     /** One change is sent to three machines at once. */
@@ -240,7 +241,7 @@
         }
     }
 
-    /** Eight changes are under way at once. */
+    /** Starts eight changes at once. */
     void many() {
         for (int i = 0; i < MOST; i++) {
             configure(() -> {});
@@ -255,17 +256,17 @@
         }
     }
 
-    /** What is no proper change: broken, of the version that holds, of an older version, or an earlier one once more. */
+    /** Sends an improper change: invalid, with the current or an older version, or an earlier one again. */
     void bad(int pick) {
         switch (pick % 8) {
             case 5 -> {
-                if (world.contents.newest() > 0) {
-                    change(change(world.contents.newest()), somewhere(), () -> {});
+                if (simulation.configurationChecker.newest() > 0) {
+                    change(change(simulation.configurationChecker.newest()), somewhere(), () -> {});
                 }
             }
             case 6 -> {
-                if (world.contents.newest() > 1) {
-                    change(change(world.contents.newest() - 1), somewhere(), () -> {});
+                if (simulation.configurationChecker.newest() > 1) {
+                    change(change(simulation.configurationChecker.newest() - 1), somewhere(), () -> {});
                 }
             }
             case 7 -> again(pick / 8 * 2 + 1);
@@ -282,13 +283,13 @@
             "[]",
             good.replace("\"pathPrefix\":\"/s/\"", "\"pathPrefix\":\"s\"")
         };
-        List<Machine> cores = world.known();
-        world.outside.call(
-                cores.get(world.random.nextInt(cores.size())),
-                new Outside.Call("POST", "/v1/configuration/replace", broken[which], CALL_MICROS),
+        List<Machine> cores = simulation.known();
+        simulation.externalCalls.call(
+                cores.get(simulation.random.nextInt(cores.size())),
+                new ExternalCalls.Call("POST", "/v1/configuration/replace", broken[which], CALL_MICROS),
                 status -> {
                     if (status / 100 == 2) {
-                        throw new Broken("CONFIG", "an invalid configuration is acknowledged");
+                        throw new Violation("CONFIG", "an invalid configuration is acknowledged");
                     }
                 },
                 (status, text) -> {});
@@ -300,33 +301,34 @@
     void purge(int pick, Runnable then) {
         String path = "/o/" + pick % Clients.PATHS;
         boolean tag = pick % 3 == 0;
-        long next = world.objects.merge(path, 1L, Long::sum);
-        world.referee.changes(path, next);
-        long sentAt = world.time.now();
-        String body = tag ? "{\"tag\":\"all\"}" : "{\"hostname\":\"" + World.HOST + "\",\"path\":\"" + path + "\"}";
+        long next = simulation.objects.merge(path, 1L, Long::sum);
+        simulation.requestChecker.changes(path, next);
+        long sentAt = simulation.time.now();
+        String body =
+                tag ? "{\"tag\":\"all\"}" : "{\"hostname\":\"" + Simulation.HOST + "\",\"path\":\"" + path + "\"}";
         order(
                 new Text("purge of " + (tag ? "all" : path), "/v1/purge", body, 0),
                 somewhere(),
-                ACK_MICROS + ROUTE_MICROS * (ROUTES + world.extraRoutes) + LOOK_MICROS,
+                ACK_MICROS + ROUTE_MICROS * (ROUTES + simulation.extraRoutes) + CHECK_INTERVAL_MICROS,
                 () -> {
-                    world.referee.purged(tag ? null : path, sentAt);
-                    world.kept.purged(tag ? "" : path, tag ? "all" : "", sentAt);
+                    simulation.requestChecker.purged(tag ? null : path, sentAt);
+                    simulation.durabilityChecker.purged(tag ? "" : path, tag ? "all" : "", sentAt);
                     then.run();
                 });
     }
 
     // ---- reading back
 
-    /** Each core machine that is known is asked once; what it tells may be no older than what was acknowledged before. */
+    /** Reads once from each known core machine; no answer may be older than what was acknowledged before. */
     void readAll() {
-        world.known().forEach(machine -> read(machine, new int[1]));
+        simulation.known().forEach(machine -> read(machine, new int[1]));
     }
 
     private void read(Machine from, int[] got) {
-        long newest = world.contents.newest();
-        world.outside.call(
+        long newest = simulation.configurationChecker.newest();
+        simulation.externalCalls.call(
                 from,
-                new Outside.Call("GET", "/v1/configuration/read", "", CALL_MICROS),
+                new ExternalCalls.Call("GET", "/v1/configuration/read", "", CALL_MICROS),
                 status -> {},
                 (status, text) -> {
                     if (status == 200) {
@@ -334,31 +336,31 @@
                         long number = Configuration.parse(text.getBytes(StandardCharsets.UTF_8))
                                 .version();
                         if (number < newest) {
-                            throw new Broken(
+                            throw new Violation(
                                     "LOST",
-                                    from.ip + " tells version " + number + " where " + newest + " was acknowledged");
+                                    from.ip + " returns version " + number + " where " + newest + " was acknowledged");
                         }
-                        world.contents.read(number, text);
+                        simulation.configurationChecker.read(number, text);
                     }
                 });
     }
 
-    /** At the end of the day, for twice {@link World#CONTACT_MICROS}; all that is read counts. */
+    /** Reads at the end of the run, for twice {@link Simulation#CONNECTED_AFTER_MICROS}; at least one read must succeed if the core is settled. */
     void readBack() {
-        long until = world.time.now() + 2 * World.CONTACT_MICROS;
+        long until = simulation.time.now() + 2 * Simulation.CONNECTED_AFTER_MICROS;
         int[] got = new int[1];
         readOn(0, until, got);
-        world.time.run(until + CALL_MICROS);
-        if (got[0] == 0 && world.contact.settledFor() >= World.CONTACT_MICROS) {
-            throw new Broken("CONFIG", "nothing is read back");
+        simulation.time.run(until + CALL_MICROS);
+        if (got[0] == 0 && simulation.connectivity.settledFor() >= Simulation.CONNECTED_AFTER_MICROS) {
+            throw new Violation("CONFIG", "no configuration could be read");
         }
     }
 
     private void readOn(int at, long until, int[] got) {
-        if (world.time.now() < until) {
-            List<Machine> cores = world.known();
+        if (simulation.time.now() < until) {
+            List<Machine> cores = simulation.known();
             read(cores.get(at % cores.size()), got);
-            world.time.after(300_000, () -> readOn(at + 1, until, got));
+            simulation.time.after(300_000, () -> readOn(at + 1, until, got));
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/Process.java
+++ b/src/main/java/gorsemast/simulation/Process.java
@@ -13,9 +13,9 @@
 import java.util.Set;
 
 /**
- * One process of the system on a machine, with links as {@code peer.Links} keeps them: dialled anew when they end,
- * closed when nothing has come for long. What falls due while its machine stands still runs, in order, when it wakes. One
- * thread; {@link #now} is its own steady clock, which begins anew with each life.
+ * A process on a machine, with links managed as in {@code peer.Links}: redialled when they end, closed after long silence.
+ * Tasks that fall due while its machine is frozen run in order when it resumes. Single-threaded; {@link #now} is its own
+ * monotonic clock, which restarts with each process.
  */
 abstract class Process implements Neighbours {
     private static final long PING_MICROS = 500_000;
@@ -24,9 +24,9 @@
     private static final long FIRST_AGAIN_MICROS = 30_000;
     private static final long AGAIN_MICROS = 300_000;
 
-    /** Whom a process wants a link to. */
+    /** A process to which a link is wanted. */
     record Target(Program program, String ip) {
-        // An enum's own number differs from process to process, and with it the order in which maps are walked.
+        // The identity hash of an enum differs between JVM processes, and with it the iteration order of maps.
         @Override
         public int hashCode() {
             return 31 * ip.hashCode() + program.ordinal();
@@ -58,28 +58,28 @@
             if (!open || !alive) {
                 return;
             }
-            if (world.plant == Plant.ACKS_ALONE
-                    && record instanceof PeerMessage.Updates news
-                    && news.commandId() != 0) {
-                after(0, () -> heardFrom(this, new PeerMessage.Persisted(news.commandId(), 0)));
+            if (simulation.defect == InjectedDefect.ACKS_ALONE
+                    && record instanceof PeerMessage.Updates updates
+                    && updates.commandId() != 0) {
+                after(0, () -> heardFrom(this, new PeerMessage.Persisted(updates.commandId(), 0)));
                 return;
             }
-            byte[] bytes = Codec.bytes(planted(record), now());
-            world.traffic.count(program, other.program, bytes.length);
+            byte[] bytes = Codec.bytes(applyDefect(record), now());
+            simulation.traffic.count(program, other.program, bytes.length);
             way.add(bytes);
-            long at = Math.max(lastArrival, world.time.now() + world.ways.delay(machine, other.machine));
+            long at = Math.max(lastArrival, simulation.time.now() + simulation.links.delay(machine, other.machine));
             lastArrival = at;
-            world.time.after(at - world.time.now(), this::arrive);
+            simulation.time.after(at - simulation.time.now(), this::arrive);
         }
 
-        /** The next record arrives; behind a cut it waits, as does all that follows it. */
+        /** Delivers the next record; behind a cut it waits, and so do all later ones. */
         private void arrive() {
             if (way.isEmpty() || !far.open) {
                 way.clear();
                 return;
             }
-            if (world.ways.waits(program, machine, other.machine) || !other.machine.power) {
-                world.time.after(world.ways.retry(), this::arrive);
+            if (simulation.links.isBlocked(program, machine, other.machine) || !other.machine.power) {
+                simulation.time.after(simulation.links.retryDelay(), this::arrive);
                 return;
             }
             byte[] bytes = way.remove(0);
@@ -120,17 +120,18 @@
             }
         }
 
-        /** @param tells whether the other side's system learns of it */
+        /** @param tells whether the other side is notified */
         void close(boolean tells) {
             if (!open) {
                 return;
             }
             open = false;
-            if (!tells && world.ways.cut(machine, other.machine)) {
-                way.clear(); // what a cut holds back goes with the power of whoever sent it
+            if (!tells && simulation.links.isCut(machine, other.machine)) {
+                way.clear(); // records held back by a cut are lost when their sender loses power
             }
-            if (tells && !world.ways.cut(machine, other.machine)) {
-                world.time.after(world.ways.delay(machine, other.machine), () -> other.run(() -> far.close(false)));
+            if (tells && !simulation.links.isCut(machine, other.machine)) {
+                simulation.time.after(
+                        simulation.links.delay(machine, other.machine), () -> other.run(() -> far.close(false)));
             }
             if (ends.remove(this) && alive) {
                 unlinked(this);
@@ -141,7 +142,7 @@
         }
     }
 
-    final World world;
+    final Simulation simulation;
     final Machine machine;
     final Program program;
     boolean alive = true;
@@ -155,16 +156,16 @@
     private final Map<Target, Long> again = new HashMap<>();
     private Set<Target> wanted = Set.of();
 
-    Process(World world, Machine machine, Program program) {
-        this.world = world;
+    Process(Simulation simulation, Machine machine, Program program) {
+        this.simulation = simulation;
         this.machine = machine;
         this.program = program;
-        this.bornAt = world.time.now();
-        this.origin = world.time.now() - 1_000_000 - world.random.nextLong(5_000_000);
+        this.bornAt = simulation.time.now();
+        this.origin = simulation.time.now() - 1_000_000 - simulation.random.nextLong(5_000_000);
     }
 
-    /** What is sent in place of a record, for a planted defect. */
-    PeerMessage planted(PeerMessage record) {
+    /** The record sent in place of this one by an injected defect. */
+    PeerMessage applyDefect(PeerMessage record) {
         return record;
     }
 
@@ -176,24 +177,24 @@
 
     abstract void heardFrom(Neighbour one, PeerMessage record);
 
-    /** It is asked to leave in order; whoever can't ends at once. */
+    /** Asks the process to leave gracefully; by default it ends at once. */
     void leave() {
         end(false);
     }
 
-    /** Its own steady clock. */
+    /** The process's own monotonic clock. */
     long now() {
-        return world.time.now() - origin;
+        return simulation.time.now() - origin;
     }
 
-    /** Milliseconds of the time of day, as its machine has it. */
+    /** Wall-clock milliseconds as its machine sees them. */
     long wall() {
-        return (world.time.now() + machine.clockError) / 1_000;
+        return (simulation.time.now() + machine.clockError) / 1_000;
     }
 
-    /** Runs a task later in this life. */
+    /** Runs a task later, unless the process has ended by then. */
     void after(long micros, Runnable task) {
-        world.time.after(micros, () -> run(task));
+        simulation.time.after(micros, () -> run(task));
     }
 
     /** Runs a task now, or when its machine wakes; never after the process has ended. */
@@ -201,10 +202,10 @@
         if (!alive) {
             return;
         }
-        if (machine.frozenUntil > world.time.now()) {
-            world.time.after(machine.frozenUntil - world.time.now(), () -> run(task));
-        } else if (world.processorTime != null) {
-            world.processorTime.run(program, task);
+        if (machine.frozenUntil > simulation.time.now()) {
+            simulation.time.after(machine.frozenUntil - simulation.time.now(), () -> run(task));
+        } else if (simulation.processorTime != null) {
+            simulation.processorTime.run(program, task);
         } else {
             task.run();
         }
@@ -218,14 +219,14 @@
         });
     }
 
-    /** It ends; with {@code power}, nobody is told. */
+    /** Ends the process; on a power loss no peer is notified. */
     void end(boolean power) {
         if (alive) {
             if (power) {
-                // What has not left a machine yet goes with its power.
+                // Messages that have not left the machine are lost with its power.
                 all.stream()
-                        .filter(end -> world.ways.held(machine, end.other.machine)
-                                || world.ways.cut(machine, end.other.machine))
+                        .filter(end -> simulation.links.isDelayed(machine, end.other.machine)
+                                || simulation.links.isCut(machine, end.other.machine))
                         .forEach(end -> end.way.clear());
             }
             List.copyOf(all).forEach(end -> end.close(!power));
@@ -233,7 +234,7 @@
         }
     }
 
-    /** Its links to that machine are reset; the other side is told by nobody. */
+    /** Its links to that machine are reset; the other side is not notified. */
     void reset(Machine to) {
         run(() ->
                 List.copyOf(all).stream().filter(end -> end.other.machine == to).forEach(end -> end.close(false)));
@@ -246,7 +247,7 @@
         return new ArrayList<>(ends);
     }
 
-    /** Keeps links to these from now on, and ends those that it has dialled to others. */
+    /** Maintains links to these targets from now on and closes those dialled to others. */
     void keep(Set<Target> targets) {
         wanted = Set.copyOf(targets);
         again.keySet().retainAll(wanted);
@@ -268,18 +269,18 @@
     private void dial(Target target) {
         Object attempt = new Object();
         dialled.put(target, attempt);
-        Machine to = world.machine(target.ip());
-        boolean refused = to != null && world.ways.refused(machine, to);
+        Machine to = simulation.machine(target.ip());
+        boolean refused = to != null && simulation.links.isRefused(machine, to);
         boolean silent = to == null
                 || !to.power
-                || world.ways.cut(machine, to)
-                || world.ways.cut(to, machine)
-                || to.frozenUntil > world.time.now();
-        after(silent && !refused ? CONNECT_MICROS : 2 * world.ways.delay(machine, to), () -> {
+                || simulation.links.isCut(machine, to)
+                || simulation.links.isCut(to, machine)
+                || to.frozenUntil > simulation.time.now();
+        after(silent && !refused ? CONNECT_MICROS : 2 * simulation.links.delay(machine, to), () -> {
             if (dialled.get(target) != attempt) {
                 return;
             }
-            Process other = silent ? null : world.process(target.program(), to);
+            Process other = silent ? null : simulation.process(target.program(), to);
             if (other == null) {
                 failed(target, attempt);
                 return;
--- a/src/main/java/gorsemast/simulation/ProcessorTime.java
+++ b/src/main/java/gorsemast/simulation/ProcessorTime.java
@@ -5,7 +5,7 @@
 import java.lang.management.ThreadMXBean;
 
 /**
- * Processor time of the thread that plays a day, by the program whose events it ran: the decisions and the records'
+ * Processor time of the thread that runs a scenario, by the program whose events it ran: the decisions and the records'
  * encoding, without sockets, disks and HTTP. One thread.
  */
 final class ProcessorTime {
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Begins anew. */
+    /** Resets all times to zero. */
     void reset() {
         java.util.Arrays.fill(nanos, 0);
     }
--- a/src/main/java/gorsemast/simulation/Referee.java
+++ b/src/main/java/gorsemast/simulation/RequestChecker.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 
 /**
- * Judges by the operators' rules what clients and servers have seen; {@link Contents} judges configurations. What has a time
- * bound is asked of machines in touch only, see {@link Contact}. Throws {@link Violation}. Times in microseconds of the world's clock.
+ * Checks by the operators' rules what clients and servers observe; {@link ConfigurationChecker} checks configurations. Time
+ * bounds apply to connected machines only, see {@link Connectivity}. Throws {@link Violation}. Times in microseconds of the simulation's clock.
  */
-final class Referee {
+final class RequestChecker {
     private static final long PURGE = 2_000_000;
     private static final long STALE_SLACK = 2_000_000;
     private static final double OVERRUN = 1.1;
@@ -22,7 +22,7 @@
 
     private record Purge(String path, long sentAt, long ackedAt) {}
 
-    private final World world;
+    private final Simulation simulation;
     private final Map<String, Integer> runs = new HashMap<>();
     private final Set<String> refused = new HashSet<>();
     private final Map<String, List<Change>> changes = new HashMap<>();
@@ -33,60 +33,60 @@
     private final Map<String, Deque<Long>> asked = new HashMap<>();
     private final Deque<Long> fetched = new ArrayDeque<>();
 
-    Referee(World world) {
-        this.world = world;
+    RequestChecker(Simulation simulation) {
+        this.simulation = simulation;
     }
 
     private long now() {
-        return world.time.now();
+        return simulation.time.now();
     }
 
-    private boolean touch(Machine machine) {
-        return world.contact.touch(machine);
+    private boolean isConnected(Machine machine) {
+        return simulation.connectivity.isConnected(machine);
     }
 
-    /** The highest number of a configuration that is acknowledged. */
+    /** The highest acknowledged configuration number. */
     long newest() {
-        return world.contents.newest();
+        return simulation.configurationChecker.newest();
     }
 
     // ---- servers
 
-    void leaves(Servers.Server server, Machine by) {
-        if (server.leavesFrom == 0 && touch(by)) {
+    void recordLeaving(Servers.Server server, Machine by) {
+        if (server.leavesFrom == 0 && isConnected(by)) {
             server.leavesFrom = now();
-            world.kept.leaves(server);
+            simulation.durabilityChecker.leaves(server);
         }
     }
 
-    /** A client asks for something of this service. */
-    void asks(String service) {
+    /** A client sends a request for this service. */
+    void recordRequest(String service) {
         asked.computeIfAbsent(service, name -> new ArrayDeque<>()).add(now());
     }
 
     void sent(Edge edge, Servers.Request request) {
-        inTouch.put(request.attempt() + request.target(), touch(edge.machine));
+        inTouch.put(request.attempt() + request.target(), isConnected(edge.machine));
     }
 
     void arrived(Servers.Server server, Servers.Request request) {
         boolean touched = inTouch.getOrDefault(request.attempt() + request.target(), false);
         if (server.leavesFrom > 0
-                && now() > server.leavesFrom + World.DRAIN_MICROS
+                && now() > server.leavesFrom + Simulation.DRAIN_MICROS
                 && touched
                 && request.target().equals(server.id)) {
-            throw new Broken(
+            throw new Violation(
                     "DRAIN",
                     server.id + " is sent " + request.path() + " " + (now() - server.leavesFrom) / 1_000
                             + " ms after it was acknowledged to leave");
         }
-        if (request.service().equals(World.OBJECTS)) {
+        if (request.service().equals(Simulation.OBJECTS)) {
             fetched.add(now());
-            while (fetched.peek() < now() - World.WINDOW_MICROS) {
+            while (fetched.peek() < now() - Simulation.WINDOW_MICROS) {
                 fetched.poll();
             }
-            double most = World.RATE * World.WINDOW_MICROS / 1e6 * OVERRUN + 5;
-            if (fetched.size() > most && world.allCalm()) {
-                throw new Broken("CEILING", fetched.size() + " requests in a window that may have " + (int) most);
+            double most = Simulation.RATE * Simulation.WINDOW_MICROS / 1e6 * OVERRUN + 5;
+            if (fetched.size() > most && simulation.isAllCalm()) {
+                throw new Violation("CEILING", fetched.size() + " requests in a window that may have " + (int) most);
             }
         }
         if (!arrivedIds
@@ -94,30 +94,31 @@
                 .add(request.attempt())) {
             Deque<Long> more = further.computeIfAbsent(request.service(), name -> new ArrayDeque<>());
             more.add(now());
-            while (more.peek() < now() - World.BUDGET.windowMicros()) {
+            while (more.peek() < now() - Simulation.BUDGET.windowMicros()) {
                 more.poll();
             }
             long requests = asked.getOrDefault(request.service(), new ArrayDeque<>()).stream()
-                    .filter(at -> at > now() - World.BUDGET.windowMicros())
+                    .filter(at -> at > now() - Simulation.BUDGET.windowMicros())
                     .count();
-            if (more.size() > World.BUDGET.ratio() * requests + World.BUDGET.slack()) {
-                throw new Broken(
+            if (more.size() > Simulation.BUDGET.ratio() * requests + Simulation.BUDGET.slack()) {
+                throw new Violation(
                         "BUDGET",
                         more.size() + " further attempts for " + requests + " requests of " + request.service());
             }
         }
     }
 
-    void runs(Servers.Server server, Servers.Request request) {
+    void checkExecution(Servers.Server server, Servers.Request request) {
         if (!server.service.equals(request.service())) {
-            throw new Broken("ROUTE", server.id + " of " + server.service + " runs " + request.path());
+            throw new Violation("ROUTE", server.id + " of " + server.service + " runs " + request.path());
         }
         if (request.unsafe()) {
             if (runs.merge(request.attempt(), 1, Integer::sum) > 1) {
-                throw new Broken("TWICE", request.path() + " of " + request.attempt() + " runs twice");
+                throw new Violation("TWICE", request.path() + " of " + request.attempt() + " runs twice");
             }
             if (refused.contains(request.attempt())) {
-                throw new Broken("REFUSED", request.path() + " of " + request.attempt() + " runs after it was refused");
+                throw new Violation(
+                        "REFUSED", request.path() + " of " + request.attempt() + " runs after it was refused");
             }
         }
     }
@@ -136,46 +137,45 @@
 
     // ---- clients
 
-    /** An edge gives an attempt this answer as its own. */
-    void owns(Edge edge, Servers.Request asked, Servers.Reply reply) {
+    /** An edge matches this answer to an attempt. */
+    void checkOwnAnswer(Edge edge, Servers.Request asked, Servers.Reply reply) {
         Servers.Request truth = reply.request();
         if (!truth.attempt().equals(asked.attempt()) || !truth.path().equals(asked.path())) {
-            throw new Broken(
-                    "MIXED",
-                    edge.machine.ip + " takes the answer to " + truth.attempt() + " for that to " + asked.attempt());
+            throw new Violation(
+                    "MIXED", edge.machine.ip + " matches the answer to " + truth.attempt() + " to " + asked.attempt());
         }
     }
 
-    /** A client has its answer. */
+    /** A client receives its answer. */
     void answered(Edge edge, String attempt, String path, boolean unsafe, long sentAt, Edge.Answer answer) {
         switch (answer.told()) {
             case REFUSED -> {
                 if (unsafe) {
                     refused.add(attempt);
                     if (runs.containsKey(attempt)) {
-                        throw new Broken("REFUSED", path + " of " + attempt + " was refused, and it has run");
+                        throw new Violation("REFUSED", path + " of " + attempt + " was refused, and it has run");
                     }
                 }
             }
             case NO_ROUTE -> {
-                if (touch(edge.machine)) {
-                    throw new Broken("DENIED", edge.machine.ip + " knows no route for " + path);
+                if (isConnected(edge.machine)) {
+                    throw new Violation("DENIED", edge.machine.ip + " knows no route for " + path);
                 }
             }
             case SERVED -> {
                 if (answer.copy()) {
-                    fresh(edge, path, sentAt, answer.version());
+                    checkFreshness(edge, path, sentAt, answer.version());
                 }
             }
             default -> {
-                // failed: nothing is promised
+                // failed: no guarantee applies
             }
         }
     }
 
-    private void fresh(Edge edge, String path, long sentAt, long version) {
-        boolean touched = touch(edge.machine);
-        if (!touched && !world.contact.well(edge.machine)) {
+    private void checkFreshness(Edge edge, String path, long sentAt, long version) {
+        boolean touched = isConnected(edge.machine);
+        if (!touched && !simulation.connectivity.isHealthy(edge.machine)) {
             return;
         }
         long replacedAt = 0;
@@ -188,20 +188,20 @@
         if (replacedAt == 0) {
             return;
         }
-        if (touched && sentAt > replacedAt + World.TTL_MICROS + STALE_SLACK) {
-            throw new Broken(
+        if (touched && sentAt > replacedAt + Simulation.TTL_MICROS + STALE_SLACK) {
+            throw new Violation(
                     "STALE",
                     edge.machine.ip + " serves version " + version + " of " + path + ", replaced "
                             + (sentAt - replacedAt) / 1_000 + " ms ago");
         }
-        long within = touched ? PURGE : PURGE + World.STRETCH_MICROS;
+        long within = touched ? PURGE : PURGE + Simulation.STRETCH_MICROS;
         for (Purge purge : purges) {
-            boolean bound = touched || world.contact.majorityFor() >= now() - purge.ackedAt;
+            boolean bound = touched || simulation.connectivity.majorityFor() >= now() - purge.ackedAt;
             if (bound
                     && (purge.path == null || purge.path.equals(path))
                     && replacedAt <= purge.sentAt
                     && sentAt > purge.ackedAt + within) {
-                throw new Broken(
+                throw new Violation(
                         "STALE",
                         edge.machine.ip + " serves version " + version + " of " + path + " "
                                 + (sentAt - purge.ackedAt) / 1_000 + " ms after its purge was acknowledged");
--- a/src/main/java/gorsemast/simulation/Servers.java
+++ b/src/main/java/gorsemast/simulation/Servers.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** The servers of the operators' services: what they beat, run, refuse, forget and lose. One thread. */
+/** The servers of the operators' services, with their heartbeats and faults. Single-threaded. */
 final class Servers {
     /** How a server answers. */
     enum Answer {
@@ -19,11 +19,11 @@
     }
 
     /**
-     * What an answer carries.
+     * A server's answer.
      *
-     * @param version an object's
-     * @param told the attempt that it names; null for none
-     * @param request whose it is in truth, which only the referee knows
+     * @param version the object's version
+     * @param told the attempt id that it carries; null for none
+     * @param request the request that it really answers, known only to the checker
      */
     record Reply(Answer answer, long version, String told, Request request) {
         Reply(Answer answer, long version, Request request) {
@@ -31,26 +31,26 @@
         }
     }
 
-    /** What a server is sent. */
+    /** A request to a server. */
     record Request(String attempt, String target, String path, boolean unsafe, String service) {}
 
     private static final long CALL_MICROS = 1_000_000;
     private static final int QUEUE = 8;
-    /** How long a server serves on beyond the time that it has to. */
+    /** How long a server keeps serving beyond the required drain time. */
     static final long USUAL_LINGER = 400_000;
 
     private static final long LATE_MICROS = 2_000_000;
 
-    private final World world;
+    private final Simulation simulation;
     private final Map<String, Server> byAddress = new HashMap<>();
     private final List<Server> all = new ArrayList<>();
     private int born;
 
-    Servers(World world) {
-        this.world = world;
+    Servers(Simulation simulation) {
+        this.simulation = simulation;
     }
 
-    /** One life of a server. */
+    /** One server instance. */
     final class Server {
         final String id;
         final String service;
@@ -59,18 +59,18 @@
         final int slots;
         boolean alive = true;
         boolean draining;
-        /** When some machine acknowledged that it leaves; 0 before. */
+        /** When a machine acknowledged that it leaves; 0 before. */
         long leavesFrom;
 
         double slow = 1;
-        /** So many of its answers are lost after it has run what it was asked. */
+        /** The share of answers that are lost after the request has run. */
         double loses;
-        /** So many of its answers come late, twice, without a name or not at all, with a reset in their place. */
+        /** The share of answers that come late, twice, without an id, or as a reset. */
         double confuses;
-        /** So many of its idle connections are forgotten. */
+        /** The share of idle connections that it drops. */
         double forgets;
 
-        /** It beats no more once it has told that it leaves. */
+        /** Whether it stops its heartbeats once it has reported that it leaves. */
         boolean quiet;
 
         private Machine first;
@@ -78,7 +78,7 @@
         private int at;
         private int busy;
         private final List<Runnable> queue = new ArrayList<>();
-        private final double speed = 0.7 + world.random.nextDouble();
+        private final double speed = 0.7 + simulation.random.nextDouble();
 
         Server(String service, String address, String zone, int slots) {
             this.id = "i-" + ++born;
@@ -88,10 +88,10 @@
             this.slots = slots;
             byAddress.put(address, this);
             all.add(this);
-            world.time.after(world.random.nextLong(World.BEAT_MICROS / 4), this::beat);
+            simulation.time.after(simulation.random.nextLong(Simulation.BEAT_MICROS / 4), this::beat);
         }
 
-        /** It calls this core machine before all others. */
+        /** Makes it call this core machine first. */
         void prefers(Machine machine) {
             first = machine;
         }
@@ -103,7 +103,7 @@
             if (!draining || !quiet) {
                 tell("heartbeat", acknowledged -> {});
             }
-            world.time.after(World.BEAT_MICROS - 100_000 + world.random.nextLong(200_000), this::beat);
+            simulation.time.after(Simulation.BEAT_MICROS - 100_000 + simulation.random.nextLong(200_000), this::beat);
         }
 
         private void tell(String what, Consumer<Boolean> then) {
@@ -116,11 +116,11 @@
         }
 
         private void call(String what, String body, boolean leaves, int tries, Consumer<Boolean> then) {
-            List<Machine> cores = world.known();
+            List<Machine> cores = simulation.known();
             Machine to = first != null && tries == 0 ? first : cores.get(Math.floorMod(at, cores.size()));
-            world.outside.call(
+            simulation.externalCalls.call(
                     to,
-                    new Outside.Call("POST", "/v1/nodes/" + id + "/" + what, body, CALL_MICROS),
+                    new ExternalCalls.Call("POST", "/v1/nodes/" + id + "/" + what, body, CALL_MICROS),
                     status -> {},
                     (status, text) -> {
                         if (!alive) {
@@ -128,7 +128,7 @@
                         }
                         if (status / 100 == 2) {
                             if (leaves) {
-                                world.referee.leaves(this, to);
+                                simulation.requestChecker.recordLeaving(this, to);
                             }
                             then.accept(true);
                         } else if (tries < 2 * cores.size()) {
@@ -141,38 +141,40 @@
         }
 
         /**
-         * It leaves in order: tells so, serves on, signs off, ends.
+         * Leaves gracefully: reports draining, keeps serving, deregisters, ends.
          *
-         * @param lingers how long it serves on beyond the time that it has to
-         * @param told run when it has read an acknowledgement
+         * @param lingers how long it keeps serving beyond the required time
+         * @param told run when it has received an acknowledgement
          */
         void drain(long lingers, Runnable told) {
             if (!alive || draining) {
                 return;
             }
             draining = true;
-            long begun = world.time.now();
+            long begun = simulation.time.now();
             boolean[] over = new boolean[1];
             tell("heartbeat", acknowledged -> {
                 over[0] = true;
                 if (acknowledged) {
                     told.run();
                 }
-                world.time.after(
-                        World.DRAIN_MICROS + lingers,
-                        () -> tell("deregister", ended -> world.time.after(300_000, this::crash)));
+                simulation.time.after(
+                        Simulation.DRAIN_MICROS + lingers,
+                        () -> tell("deregister", ended -> simulation.time.after(300_000, this::crash)));
             });
-            world.time.after(Operator.ACK_MICROS, () -> {
-                if (!over[0] && Math.min(world.contact.stretch(), world.time.now() - begun) >= Operator.ACK_MICROS) {
-                    throw new Broken(
+            simulation.time.after(Operator.ACK_MICROS, () -> {
+                if (!over[0]
+                        && Math.min(simulation.connectivity.calmFor(), simulation.time.now() - begun)
+                                >= Operator.ACK_MICROS) {
+                    throw new Violation(
                             "ACK",
-                            id + " drains, and nobody has said so in " + Operator.ACK_MICROS / 1_000
+                            id + " drains, and no acknowledgement has arrived in " + Operator.ACK_MICROS / 1_000
                                     + " ms with the core settled");
                 }
             });
         }
 
-        /** It ends without a word. */
+        /** Ends without deregistering. */
         void crash() {
             alive = false;
             if (byAddress.get(address) == this) {
@@ -181,7 +183,7 @@
         }
 
         private void take(Request request, Consumer<Reply> reply) {
-            world.referee.arrived(this, request);
+            simulation.requestChecker.arrived(this, request);
             if (!request.target.equals(id)) {
                 reply.accept(new Reply(Answer.MISDIRECTED, 0, request));
             } else if (busy >= slots && queue.size() >= QUEUE) {
@@ -195,48 +197,48 @@
 
         private void work(Request request, Consumer<Reply> reply) {
             busy++;
-            world.referee.runs(this, request);
-            long version = world.objects.getOrDefault(request.path, 0L);
-            long micros = (long) ((10_000 + world.random.nextLong(40_000)) * speed * slow);
-            world.time.after(micros, () -> {
+            simulation.requestChecker.checkExecution(this, request);
+            long version = simulation.objects.getOrDefault(request.path, 0L);
+            long micros = (long) ((10_000 + simulation.random.nextLong(40_000)) * speed * slow);
+            simulation.time.after(micros, () -> {
                 busy--;
                 if (!queue.isEmpty()) {
                     queue.remove(0).run();
                 }
-                if (alive && world.random.nextDouble() >= loses) {
-                    Answer answer = world.random.nextInt(300) == 0 ? Answer.ERROR : Answer.OK;
+                if (alive && simulation.random.nextDouble() >= loses) {
+                    Answer answer = simulation.random.nextInt(300) == 0 ? Answer.ERROR : Answer.OK;
                     say(new Reply(answer, version, request), reply);
                 }
             });
         }
 
         private void say(Reply answer, Consumer<Reply> reply) {
-            if (confuses == 0 || world.random.nextDouble() >= confuses) {
+            if (confuses == 0 || simulation.random.nextDouble() >= confuses) {
                 reply.accept(answer);
                 return;
             }
-            long later = world.random.nextLong(LATE_MICROS);
+            long later = simulation.random.nextLong(LATE_MICROS);
             Reply nameless = new Reply(answer.answer, answer.version, null, answer.request);
-            switch (world.random.nextInt(5)) {
-                case 0 -> world.time.after(later, () -> reply.accept(answer));
+            switch (simulation.random.nextInt(5)) {
+                case 0 -> simulation.time.after(later, () -> reply.accept(answer));
                 case 1 -> reply.accept(nameless);
                 case 2 -> reply.accept(new Reply(Answer.RESET, 0, answer.request));
                 default -> {
                     reply.accept(answer);
-                    Reply again = world.random.nextBoolean() ? answer : nameless;
-                    world.time.after(later / 8, () -> reply.accept(again));
+                    Reply again = simulation.random.nextBoolean() ? answer : nameless;
+                    simulation.time.after(later / 8, () -> reply.accept(again));
                 }
             }
         }
     }
 
-    /** Whether the server there has forgotten a connection that was idle. */
+    /** Whether the server at this address has dropped an idle connection. */
     boolean forgets(String address) {
         Server server = byAddress.get(address);
-        return server != null && server.forgets > 0 && world.random.nextDouble() < server.forgets;
+        return server != null && server.forgets > 0 && simulation.random.nextDouble() < server.forgets;
     }
 
-    /** All that have not ended, of a service; of all where it is null. */
+    /** The running servers of a service, or of all services if it is null. */
     List<Server> of(String service) {
         return all.stream()
                 .filter(one -> one.alive && (service == null || one.service.equals(service)))
@@ -249,13 +251,13 @@
      * @param refused called where nothing listens at the address
      */
     void send(Machine from, String address, Request request, Consumer<Reply> reply, Runnable refused) {
-        long way = world.ways.way(400);
-        world.time.after(way, () -> {
+        long way = simulation.links.randomLatency(400);
+        simulation.time.after(way, () -> {
             Server server = byAddress.get(address);
             if (server == null) {
-                world.time.after(way, refused);
+                simulation.time.after(way, refused);
             } else {
-                server.take(request, answer -> world.time.after(way, () -> reply.accept(answer)));
+                server.take(request, answer -> simulation.time.after(way, () -> reply.accept(answer)));
             }
         });
     }
--- a/src/main/java/gorsemast/simulation/World.java
+++ b/src/main/java/gorsemast/simulation/Simulation.java
@@ -19,26 +19,26 @@
 import java.util.function.Consumer;
 
 /**
- * Machines, the ways between them, and everything that lives on them, for one day in virtual time. One thread; times in
- * microseconds.
+ * The simulated network: machines, their processes and the links between them, for one run in virtual time. Single-threaded;
+ * times in microseconds.
  */
-final class World {
+final class Simulation {
     static final String HOST = "h.example";
     static final String OBJECTS = "objects";
     static final long BEAT_MICROS = 1_000_000;
     static final long DRAIN_MICROS = 2_000_000;
     static final long WINDOW_MICROS = 5_000_000;
-    static final long CONTACT_MICROS = 3_000_000;
+    static final long CONNECTED_AFTER_MICROS = 3_000_000;
     static final long SYNC_MICROS = 4_000_000;
-    /** What an unsettled core may stretch the bounds of configurations and purges by. */
+    /** How much longer an unsettled core may take for configurations and purges. */
     static final long STRETCH_MICROS = 5_000_000;
     /** From a request to leave until a machine is gone. */
     static final long GRACE_MICROS = 6_000_000;
 
     static final long TTL_MICROS = 10_000_000;
-    /** That one server takes from all callers. */
+    /** Connections that one server accepts from all callers. */
     static final int CONNECTIONS = 130;
-    /** Of objects' servers, a second. */
+    /** Requests per second that object servers accept. */
     static final double RATE = 25;
 
     static final ModuleConfiguration.RetryBudget BUDGET = new ModuleConfiguration.RetryBudget(0.2, 60, 10_000_000);
@@ -50,32 +50,32 @@
 
     final VirtualTime time = new VirtualTime(10_000_000);
     final SplittableRandom random;
-    final Plant plant;
-    final Ways ways = new Ways(this);
-    final Contact contact = new Contact(this);
-    final Referee referee = new Referee(this);
-    final Contents contents = new Contents(this);
-    final Kept kept = new Kept(this);
-    final Outside outside = new Outside(this);
+    final InjectedDefect defect;
+    final NetworkLinks links = new NetworkLinks(this);
+    final Connectivity connectivity = new Connectivity(this);
+    final RequestChecker requestChecker = new RequestChecker(this);
+    final ConfigurationChecker configurationChecker = new ConfigurationChecker(this);
+    final DurabilityChecker durabilityChecker = new DurabilityChecker(this);
+    final ExternalCalls externalCalls = new ExternalCalls(this);
     final Operator operator = new Operator(this);
     final Clients clients = new Clients(this);
-    /** What new lists begin with; null for nothing special. */
+    /** The first entry of new seed lists; null for the usual order. */
     String firstSeed;
 
     final Servers servers = new Servers(this);
-    /** What went over links since traffic began. */
+    /** Link traffic since client traffic began. */
     final LinkTraffic traffic = new LinkTraffic();
-    /** Where a study measures it; null else. */
+    /** Set if a study measures processor time; else null. */
     ProcessorTime processorTime;
-    /** Servers beside the nine that each day has. */
+    /** Servers beside the nine that each run has. */
     int extraServers;
     /** Routes beside the four that each configuration has. */
     int extraRoutes;
     /** Versions of objects that have changed. */
     final Map<String, Long> objects = new HashMap<>();
 
-    private final Day day;
-    private final List<String> story;
+    private final Scenario scenario;
+    private final List<String> eventLog;
     private final Map<String, List<Long>> times = new TreeMap<>();
     private final Map<String, Machine> machines = new LinkedHashMap<>();
     private List<String> seeds = new ArrayList<>();
@@ -84,66 +84,66 @@
     private long countedSince;
     private int addresses;
 
-    World(Day day, Plant plant, List<String> story) {
-        this.day = day;
-        this.plant = plant;
-        this.story = story;
-        this.random = new SplittableRandom(day.seed());
+    Simulation(Scenario scenario, InjectedDefect defect, List<String> eventLog) {
+        this.scenario = scenario;
+        this.defect = defect;
+        this.eventLog = eventLog;
+        this.random = new SplittableRandom(scenario.seed());
     }
 
-    void say(String what) {
-        if (story != null) {
-            story.add(String.format(java.util.Locale.ROOT, "%.3f %s", time.now() / 1e6, what));
+    void logEvent(String what) {
+        if (eventLog != null) {
+            eventLog.add(String.format(java.util.Locale.ROOT, "%.3f %s", time.now() / 1e6, what));
         }
     }
 
-    Outcome play() {
-        Course course = new Course(this, day);
-        return course.play();
+    Outcome run() {
+        ScenarioRun course = new ScenarioRun(this, scenario);
+        return course.run();
     }
 
-    /** Something took so long. */
-    void took(String what, long micros) {
+    /** Records how long something took. */
+    void recordDuration(String what, long micros) {
         times.computeIfAbsent(what, name -> new ArrayList<>()).add(micros);
     }
 
-    /** Measures from now on until it holds, for {@link #WATCHED_MICROS} at most. */
+    /** Measures the time from now until the condition holds, for {@link #WATCHED_MICROS} at most. */
     void watch(String what, BooleanSupplier holds) {
         watch(what, time.now(), holds);
     }
 
     private void watch(String what, long since, BooleanSupplier holds) {
         if (holds.getAsBoolean()) {
-            took(what, time.now() - since);
+            recordDuration(what, time.now() - since);
         } else if (time.now() - since < WATCHED_MICROS) {
             time.after(WATCH_MICROS, () -> watch(what, since, holds));
         }
     }
 
-    /** The machine, other than that, whose store leads; null for none. */
-    Machine primaryBut(Machine but) {
+    /** The machine, other than {@code but}, whose store is primary; null for none. */
+    Machine primaryExcept(Machine but) {
         for (Machine machine : machines(true)) {
             if (machine != but
                     && process(Program.STORE, machine) instanceof Store store
-                    && store.teller.replica().isPrimary()) {
+                    && store.storeNode.replica().isPrimary()) {
                 return machine;
             }
         }
         return null;
     }
 
-    /** Whether an edge holds what a synced registry holds. */
-    boolean caughtUp(Machine machine) {
+    /** Whether an edge has the state of a synced registry. */
+    boolean isCaughtUp(Machine machine) {
         if (!(process(Program.PROXY, machine) instanceof Edge edge)) {
             return false;
         }
         return machines(true).stream()
                 .anyMatch(core -> process(Program.REGISTRY, core) instanceof Registry registry
-                        && registry.office.synced()
-                        && registry.office
+                        && registry.registryNode.synced()
+                        && registry.registryNode
                                         .state()
                                         .differingBuckets(
-                                                edge.lookout.gossipState().digest())
+                                                edge.proxyNode.gossipState().digest())
                                 == 0);
     }
 
@@ -151,10 +151,10 @@
         long edges = machines.values().stream().filter(one -> !one.core).count();
         double seconds = Math.max(1, (time.now() - from) / 1e6) * edges;
         return new Outcome(
-                clients.asked(),
-                clients.served(),
-                contents.judged(),
-                contents.bound(),
+                clients.requestCount(),
+                clients.servedCount(),
+                configurationChecker.checkedRequests(),
+                configurationChecker.timeBoundRequests(),
                 times,
                 traffic.bytesFrom(Program.PROXY) / seconds,
                 traffic.recordsFrom(Program.PROXY) / seconds);
@@ -188,7 +188,7 @@
     List<Machine> machines(boolean core) {
         List<Machine> found = new ArrayList<>();
         for (Machine one : machines.values()) {
-            if (one.core == core && !one.gone) {
+            if (one.core == core && !one.removed) {
                 found.add(one);
             }
         }
@@ -219,11 +219,14 @@
     void start(Machine machine, boolean firstBoot) {
         machine.power = true;
         long takes = START_MICROS + random.nextLong(START_MICROS / 2);
-        int life = machine.processes.size();
+        int incarnation = machine.processes.size();
         int stops = machine.stops;
         long from = time.now();
         time.after(takes, () -> {
-            if (!machine.power || machine.gone || machine.processes.size() != life || machine.stops != stops) {
+            if (!machine.power
+                    || machine.removed
+                    || machine.processes.size() != incarnation
+                    || machine.stops != stops) {
                 return;
             }
             if (machine.core) {
@@ -239,16 +242,16 @@
 
     private void awaitReady(Edge edge, long from) {
         if (edge.ready()) {
-            took(Outcome.READY, time.now() - from);
-            kept.ready(edge);
+            recordDuration(Outcome.READY, time.now() - from);
+            durabilityChecker.checkReadyEdge(edge);
         } else {
             edge.after(50_000, () -> awaitReady(edge, from));
         }
     }
 
-    /** Its processes end; without power nobody is told, and what was not synced may be lost. */
+    /** Ends a machine's processes; if it loses power, peers are not notified and unsynced data may be lost. */
     void stop(Machine machine, boolean power) {
-        say(machine.ip + (power ? " loses power" : " is killed"));
+        logEvent(machine.ip + (power ? " loses power" : " is killed"));
         machine.stops++;
         machine.processes.forEach(one -> one.end(power));
         machine.frozenUntil = 0;
@@ -257,9 +260,9 @@
         }
     }
 
-    // ---- the core as the operators' list has it
+    // ---- seed lists
 
-    /** What a process that starts now is told: three core machines at most. */
+    /** The seeds of a process that starts now: at most three core machines. */
     Set<String> seeds() {
         List<String> listed = new ArrayList<>(seeds);
         if (firstSeed != null && listed.remove(firstSeed)) {
@@ -268,38 +271,38 @@
         return new LinkedHashSet<>(listed.subList(0, Math.min(SEEDS, listed.size())));
     }
 
-    /** Machines that callers from outside know of. */
+    /** Machines known to external callers. */
     List<Machine> known() {
         return seeds.stream().map(machines::get).toList();
     }
 
-    /** The list follows what is so, some time behind. */
-    void listLater() {
-        time.after(SEED_LAG, this::listNow);
+    /** Updates the seed list after a delay. */
+    void updateSeedsLater() {
+        time.after(SEED_LAG, this::updateSeedsNow);
     }
 
-    void listNow() {
+    void updateSeedsNow() {
         seeds = new ArrayList<>(machines(true).stream().map(one -> one.ip).toList());
     }
 
     /** How many core machines may be lost at once. */
     int losses() {
-        return day.losses();
+        return scenario.losses();
     }
 
-    /** So many more core machines are gone whose successors have not come yet. */
+    /** Counts removed core machines whose successors have not started yet. */
     void replacing(int more) {
         replacing += more;
     }
 
-    /** Whether so many more core machines may be lost now. */
+    /** Whether {@code more} further core machines may be lost now. */
     boolean mayLose(int more) {
-        return contact.lost() + replacing + more <= losses();
+        return connectivity.lostMachines() + replacing + more <= losses();
     }
 
-    boolean allCalm() {
-        return contact.settledFor() >= 0
-                && machines(false).stream().allMatch(one -> one.calmFor(time.now()) >= CONTACT_MICROS);
+    boolean isAllCalm() {
+        return connectivity.settledFor() >= 0
+                && machines(false).stream().allMatch(one -> one.calmFor(time.now()) >= CONNECTED_AFTER_MICROS);
     }
 
     // ---- servers
@@ -319,13 +322,13 @@
         return Math.max(0, machine.stalledUntil - time.now()) + machine.diskTimes * (400 + random.nextLong(3_000));
     }
 
-    /** A message to a process, which is lost where that is not reached. */
+    /** Sends a message to a process; it is lost if the process is unreachable. */
     void message(Machine from, String ip, Program program, Consumer<Process> then) {
         Machine to = machines.get(ip);
-        if (to == null || ways.cut(from, to)) {
+        if (to == null || links.isCut(from, to)) {
             return;
         }
-        time.after(ways.delay(from, to), () -> {
+        time.after(links.delay(from, to), () -> {
             Process process = to.power ? process(program, to) : null;
             if (process != null) {
                 process.run(() -> then.accept(process));
@@ -333,7 +336,7 @@
         });
     }
 
-    /** A call from outside, by hand. */
+    /** Sends an external call, for tests. */
     void call(
             String who,
             Machine to,
@@ -342,16 +345,16 @@
             String body,
             long patience,
             BiConsumer<Integer, String> end) {
-        outside.call(to, new Outside.Call(method, path, body, patience), status -> {}, end);
+        externalCalls.call(to, new ExternalCalls.Call(method, path, body, patience), status -> {}, end);
     }
 
-    /** Cuts or joins the way in one direction, by hand. */
+    /** Cuts or restores a path in one direction, for tests. */
     void cut(Machine from, Machine to, boolean does) {
-        ways.cut(from, to, does ? Ways.Cut.SILENT : null);
+        links.cut(from, to, does ? NetworkLinks.Cut.SILENT : null);
     }
 
-    /** What happens when a core machine next acknowledges an order, by hand. */
+    /** Runs {@code then} when a core machine next acknowledges a change, for tests. */
     void onAck(Consumer<Machine> then) {
-        outside.onAck(Acknowledged.ANY, then);
+        externalCalls.onAck(AcknowledgedChange.ANY, then);
     }
 }
--- a/src/main/java/gorsemast/simulation/package-info.java
+++ b/src/main/java/gorsemast/simulation/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The proving ground: the decisions of all three programs, as they run in service, in virtual time. Machines, disks, links,
- * servers, operators and clients are modelled round them; troubles strike by a plan; a referee judges what was seen by the
- * operators' rules. From one seed comes one course.
+ * Deterministic simulation of the whole system: the production decision code of all three programs in virtual time, with
+ * simulated machines, disks, links, servers, operators and clients. Faults are injected by a scenario, and checkers verify
+ * the operators' rules. The same seed gives the same run.
  */
 package gorsemast.simulation;
--- a/src/test/java/gorsemast/modelcheck/RegistryCheckTest.java
+++ b/src/test/java/gorsemast/modelcheck/RegistryCheckTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Whoever vouches knows what was acknowledged, over all short rows of events and drawn courses; planted defects are found. */
+/** Synced registries know what was acknowledged, in all short event sequences and random scenarios; defects are found. */
 class RegistryCheckTest {
     @BeforeAll
     static void quiet() {
@@ -16,26 +16,26 @@
     }
 
     private static String told(RegistryCheck.Result result) {
-        return result.broken() + "\n" + String.join("\n", result.story());
+        return result.violation() + "\n" + String.join("\n", result.eventLog());
     }
 
     @Test
     void holdsOverAllRowsOfTwo() {
-        RegistryCheck.Result result = RegistryCheck.all(2, RegistryPlant.NONE);
-        assertThat(result.broken()).as(told(result)).isNull();
+        RegistryCheck.Result result = RegistryCheck.exhaustive(2, RegistryDefect.NONE);
+        assertThat(result.violation()).as(told(result)).isNull();
         assertThat(result.acknowledged()).isPositive();
     }
 
     @Test
     void holdsOverDrawnCourses() {
-        RegistryCheck.Result result = RegistryCheck.drawn(1, 200, 40, RegistryPlant.NONE);
-        assertThat(result.broken()).as(told(result)).isNull();
+        RegistryCheck.Result result = RegistryCheck.random(1, 200, 40, RegistryDefect.NONE);
+        assertThat(result.violation()).as(told(result)).isNull();
         assertThat(result.acknowledged()).isGreaterThan(200);
     }
 
     @ParameterizedTest
-    @EnumSource(value = RegistryPlant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void plantedDefectsAreFound(RegistryPlant plant) {
-        assertThat(RegistryCheck.drawn(1, 400, 40, plant).broken()).isNotNull();
+    @EnumSource(value = RegistryDefect.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void plantedDefectsAreFound(RegistryDefect defect) {
+        assertThat(RegistryCheck.random(1, 400, 40, defect).violation()).isNotNull();
     }
 }
--- a/src/test/java/gorsemast/simulation/ContactTest.java
+++ b/src/test/java/gorsemast/simulation/ContactTest.java
@@ -7,96 +7,97 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Who is in touch, and whether the core is settled, against the words of the rules. */
+/** Which machines count as connected and whether the core is settled, by the operators' rules. */
 class ContactTest {
-    private static final long CONTACT = World.CONTACT_MICROS;
+    private static final long CONTACT = Simulation.CONNECTED_AFTER_MICROS;
 
-    private final World world =
-            new World(new Day(3, 2, 1, 1_000_000, List.of(), Trouble.Closing.NONE), Plant.NONE, null);
-    private final MachineTroubles machines = new MachineTroubles(world);
-    private final CutTroubles cuts = new CutTroubles(world, machines);
+    private final Simulation simulation =
+            new Simulation(new Scenario(3, 2, 1, 1_000_000, List.of(), Fault.Closing.NONE), InjectedDefect.NONE, null);
+    private final MachineFaults machines = new MachineFaults(simulation);
+    private final LinkFaults cuts = new LinkFaults(simulation, machines);
     private final List<Machine> cores = new ArrayList<>();
     private Machine edge;
 
     @BeforeEach
     void start() {
         for (int i = 0; i < 3; i++) {
-            cores.add(world.add("a", true));
+            cores.add(simulation.add("a", true));
         }
-        edge = world.add("a", false);
-        world.listNow();
-        cores.forEach(one -> world.start(one, true));
-        world.start(edge, true);
+        edge = simulation.add("a", false);
+        simulation.updateSeedsNow();
+        cores.forEach(one -> simulation.start(one, true));
+        simulation.start(edge, true);
         pass(5_000_000);
     }
 
     private void pass(long micros) {
-        world.time.run(world.time.now() + micros);
+        simulation.time.run(simulation.time.now() + micros);
     }
 
     private boolean settled() {
-        return world.contact.settledFor() >= 0;
+        return simulation.connectivity.settledFor() >= 0;
     }
 
     @Test
     void aCoreWithOneMachineDownIsSettledAgainAfterContact() {
         assertThat(settled()).isTrue();
-        machines.bounce(cores.get(0), true, 20_000_000);
+        machines.restart(cores.get(0), true, 20_000_000);
         assertThat(settled()).isFalse();
         pass(CONTACT - 100_000);
         assertThat(settled()).isFalse();
         pass(200_000);
         assertThat(settled()).isTrue();
-        assertThat(world.contact.touch(edge)).isTrue();
+        assertThat(simulation.connectivity.isConnected(edge)).isTrue();
         pass(20_000_000 - CONTACT);
         assertThat(settled()).isFalse(); // it has started
     }
 
     @Test
     void withTwoDownItIsNot() {
-        machines.bounce(cores.get(0), true, 20_000_000);
-        machines.bounce(cores.get(1), true, 20_000_000);
+        machines.restart(cores.get(0), true, 20_000_000);
+        machines.restart(cores.get(1), true, 20_000_000);
         pass(10_000_000);
         assertThat(settled()).isFalse();
-        assertThat(world.contact.majorityFor()).isZero();
+        assertThat(simulation.connectivity.majorityFor()).isZero();
     }
 
     @Test
     void whoIsCutOffIsNotInTouchAndTheOthersAre() {
-        cuts.off(cores.get(0), 20_000_000, Ways.Cut.SILENT, true, true);
+        cuts.isolate(cores.get(0), 20_000_000, NetworkLinks.Cut.SILENT, true, true);
         pass(CONTACT + 100_000);
         assertThat(settled()).isTrue();
-        assertThat(world.contact.touch(cores.get(0))).isFalse();
-        assertThat(world.contact.touch(cores.get(1))).isTrue();
-        assertThat(world.contact.touch(edge)).isTrue(); // the machine that it can't tell of reaches too few
-        assertThat(world.contact.lost()).isEqualTo(1);
+        assertThat(simulation.connectivity.isConnected(cores.get(0))).isFalse();
+        assertThat(simulation.connectivity.isConnected(cores.get(1))).isTrue();
+        assertThat(simulation.connectivity.isConnected(edge))
+                .isTrue(); // the unreachable machine does not reach a majority
+        assertThat(simulation.connectivity.lostMachines()).isEqualTo(1);
         pass(20_000_000);
-        assertThat(world.contact.touch(cores.get(0))).isTrue();
+        assertThat(simulation.connectivity.isConnected(cores.get(0))).isTrue();
     }
 
     @Test
     void anEdgeOnTheWrongSideIsNotInTouch() {
-        cuts.sides(List.of(cores.get(0)), 20_000_000, Ways.Cut.SILENT, false);
+        cuts.partition(List.of(cores.get(0)), 20_000_000, NetworkLinks.Cut.SILENT, false);
         pass(CONTACT + 100_000);
         assertThat(settled()).isTrue();
-        assertThat(world.contact.touch(edge)).isFalse();
+        assertThat(simulation.connectivity.isConnected(edge)).isFalse();
     }
 
     @Test
     void anEdgeCutOffFromOneGoodMachineIsNotInTouch() {
-        world.ways.cut(edge, cores.get(2), Ways.Cut.SILENT);
+        simulation.links.cut(edge, cores.get(2), NetworkLinks.Cut.SILENT);
         pass(CONTACT + 100_000);
         assertThat(settled()).isTrue();
-        assertThat(world.contact.touch(edge)).isFalse();
-        world.ways.cut(edge, cores.get(2), null);
-        assertThat(world.contact.touch(edge)).isFalse();
+        assertThat(simulation.connectivity.isConnected(edge)).isFalse();
+        simulation.links.cut(edge, cores.get(2), null);
+        assertThat(simulation.connectivity.isConnected(edge)).isFalse();
         pass(CONTACT);
-        assertThat(world.contact.touch(edge)).isTrue();
+        assertThat(simulation.connectivity.isConnected(edge)).isTrue();
     }
 
     @Test
     void aSlowLinkUnsettlesTheCoreForAsLongAsItIsSlow() {
-        cuts.hold(cores.get(0), List.of(cores.get(1)), 10_000_000);
+        cuts.delayLinks(cores.get(0), List.of(cores.get(1)), 10_000_000);
         pass(9_000_000);
         assertThat(settled()).isFalse();
         pass(CONTACT + 2_000_000);
@@ -108,18 +109,18 @@
         machines.stall(cores.get(0), 10_000_000);
         pass(5_000_000);
         assertThat(settled()).isTrue();
-        assertThat(world.contact.touch(cores.get(0))).isFalse();
-        assertThat(world.contact.touch(cores.get(1))).isTrue();
-        assertThat(world.mayLose(1)).isFalse();
+        assertThat(simulation.connectivity.isConnected(cores.get(0))).isFalse();
+        assertThat(simulation.connectivity.isConnected(cores.get(1))).isTrue();
+        assertThat(simulation.mayLose(1)).isFalse();
     }
 
     @Test
     void aStoppedMachineStaysLostForTheTimeToSync() {
-        machines.bounce(cores.get(0), true, 1_000_000);
-        pass(1_000_000 + World.SYNC_MICROS - 100_000);
-        assertThat(world.mayLose(1)).isFalse();
+        machines.restart(cores.get(0), true, 1_000_000);
+        pass(1_000_000 + Simulation.SYNC_MICROS - 100_000);
+        assertThat(simulation.mayLose(1)).isFalse();
         pass(200_000);
-        assertThat(world.mayLose(1)).isTrue();
-        assertThat(world.mayLose(2)).isFalse();
+        assertThat(simulation.mayLose(1)).isTrue();
+        assertThat(simulation.mayLose(2)).isFalse();
     }
 }
--- a/src/test/java/gorsemast/simulation/ContentsTest.java
+++ b/src/test/java/gorsemast/simulation/ContentsTest.java
@@ -7,19 +7,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The rules on contents by themselves: what is told to the referee, and what it makes of it. */
+/** The checker's rules on configuration contents in isolation. */
 class ContentsTest {
-    private final World world =
-            new World(new Day(3, 4, 1, 1_000_000, List.of(), Trouble.Closing.NONE), Plant.NONE, null);
-    private final Contents contents = world.contents;
+    private final Simulation simulation =
+            new Simulation(new Scenario(3, 4, 1, 1_000_000, List.of(), Fault.Closing.NONE), InjectedDefect.NONE, null);
+    private final ConfigurationChecker contents = simulation.configurationChecker;
 
     private void broken(String text, Runnable what) {
-        assertThatExceptionOfType(Broken.class).isThrownBy(what::run).withMessageContaining(text);
+        assertThatExceptionOfType(Violation.class).isThrownBy(what::run).withMessageContaining(text);
     }
 
     private void takes(long number, String content) {
         contents.sent(number, content);
-        contents.answered(number, content, 200, world.time.now());
+        contents.answered(number, content, 200, simulation.time.now());
         contents.acknowledged(number, content);
     }
 
@@ -27,17 +27,17 @@
     void twoContentsOfOneNumberAreNotBothAcknowledged() {
         takes(5, "a");
         contents.sent(5, "b");
-        broken("two contents are acknowledged", () -> contents.answered(5, "b", 200, world.time.now()));
+        broken("two contents are acknowledged", () -> contents.answered(5, "b", 200, simulation.time.now()));
     }
 
     @Test
     void theSecondOneIsRefused() {
         takes(5, "a");
         contents.sent(5, "b");
-        contents.answered(5, "b", 409, world.time.now());
+        contents.answered(5, "b", 409, simulation.time.now());
         contents.refused(5, "b");
         contents.sent(6, "c");
-        broken("after it was refused", () -> contents.answered(5, "b", 200, world.time.now()));
+        broken("after it was refused", () -> contents.answered(5, "b", 200, simulation.time.now()));
     }
 
     @Test
@@ -45,7 +45,7 @@
         takes(5, "a");
         takes(7, "c");
         contents.sent(5, "b");
-        assertThatNoException().isThrownBy(() -> contents.answered(5, "b", 200, world.time.now()));
+        assertThatNoException().isThrownBy(() -> contents.answered(5, "b", 200, simulation.time.now()));
     }
 
     @Test
@@ -53,30 +53,30 @@
         takes(5, "a");
         takes(7, "c");
         contents.sent(5, "b");
-        world.time.run(world.time.now() + 1);
-        broken("sent again unchanged", () -> contents.answered(5, "a", 409, world.time.now()));
+        simulation.time.run(simulation.time.now() + 1);
+        broken("is resent unchanged", () -> contents.answered(5, "a", 409, simulation.time.now()));
     }
 
     @Test
     void norIsWhatWasTakenAndNobodyHeardOfIt() {
         contents.sent(5, "a");
-        contents.answered(5, "a", 200, world.time.now());
+        contents.answered(5, "a", 200, simulation.time.now());
         contents.sent(5, "b");
-        world.time.run(world.time.now() + 1);
-        broken("sent again unchanged", () -> contents.answered(5, "a", 409, world.time.now()));
+        simulation.time.run(simulation.time.now() + 1);
+        broken("is resent unchanged", () -> contents.answered(5, "a", 409, simulation.time.now()));
     }
 
     @Test
     void aProperOrderThatNobodyContestsIsNotRefused() {
         contents.sent(5, "a");
-        broken("a valid order", () -> contents.answered(5, "a", 409, world.time.now()));
+        broken("a valid update", () -> contents.answered(5, "a", 409, simulation.time.now()));
     }
 
     @Test
     void whatIsReadIsWhatWasAcknowledged() {
         takes(5, "a");
         contents.sent(5, "b");
-        contents.answered(5, "b", 409, world.time.now());
+        contents.answered(5, "b", 409, simulation.time.now());
         assertThatNoException().isThrownBy(() -> contents.read(5, "a"));
         broken("another content", () -> contents.read(5, "b"));
         contents.refused(5, "b");
@@ -86,36 +86,36 @@
 
     @Test
     void anEdgeGoesByTheAcknowledgedContent() {
-        Machine machine = world.add("a", false);
-        Edge edge = new Edge(world, machine);
+        Machine machine = simulation.add("a", false);
+        Edge edge = new Edge(simulation, machine);
         takes(5, "a");
         contents.sent(5, "b");
-        contents.handles(edge, 5, "a", world.time.now());
-        broken("goes from the acknowledged content", () -> contents.handles(edge, 5, "b", world.time.now()));
-        Edge other = new Edge(world, machine);
-        contents.handles(other, 5, "b", world.time.now());
-        contents.handles(other, 5, "a", world.time.now());
+        contents.handles(edge, 5, "a", simulation.time.now());
+        broken("switches from the acknowledged content", () -> contents.handles(edge, 5, "b", simulation.time.now()));
+        Edge other = new Edge(simulation, machine);
+        contents.handles(other, 5, "b", simulation.time.now());
+        contents.handles(other, 5, "a", simulation.time.now());
         assertThat(other.seenContent).isEqualTo("a");
-        broken("goes back", () -> contents.handles(other, 4, "x", world.time.now()));
-        broken("is refused, and an edge has gone by it", () -> contents.refused(5, "b"));
+        broken("reverts from version", () -> contents.handles(other, 4, "x", simulation.time.now()));
+        broken("is refused after an edge has applied it", () -> contents.refused(5, "b"));
     }
 
     @Test
     void anEdgeInTouchGoesByItInTime() {
-        Machine machine = world.add("a", false);
+        Machine machine = simulation.add("a", false);
         for (int i = 0; i < 3; i++) {
-            world.start(world.add("a", true), true);
+            simulation.start(simulation.add("a", true), true);
         }
-        world.listNow();
-        Edge edge = new Edge(world, machine);
-        world.time.run(world.time.now() + 10_000_000);
-        assertThat(world.contact.touch(machine)).isTrue();
+        simulation.updateSeedsNow();
+        Edge edge = new Edge(simulation, machine);
+        simulation.time.run(simulation.time.now() + 10_000_000);
+        assertThat(simulation.connectivity.isConnected(machine)).isTrue();
         contents.sent(5, "b");
         takes(5, "a");
-        contents.handles(edge, 5, "b", world.time.now() + 1_900_000);
-        broken("another content of number 5", () -> contents.handles(edge, 5, "b", world.time.now() + 2_100_000));
+        contents.handles(edge, 5, "b", simulation.time.now() + 1_900_000);
+        broken("another content of number 5", () -> contents.handles(edge, 5, "b", simulation.time.now() + 2_100_000));
         takes(6, "c");
-        broken("goes by version 5", () -> contents.handles(edge, 5, "a", world.time.now() + 2_100_000));
+        broken("applies version 5", () -> contents.handles(edge, 5, "a", simulation.time.now() + 2_100_000));
         assertThat(contents.newest()).isEqualTo(6);
     }
 }
--- a/src/test/java/gorsemast/simulation/CutOffTest.java
+++ b/src/test/java/gorsemast/simulation/CutOffTest.java
@@ -18,21 +18,21 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A core machine that is cut off for twenty seconds beside an edge, with orders to both sides; and power lost everywhere
- * right after an acknowledgement. What vouches is asked every 20 ms, besides the referee's rules.
+ * A core machine and an edge are cut off for twenty seconds, with changes sent to both sides; and power is lost everywhere
+ * right after an acknowledgement. Synced registries are checked every 20 ms, in addition to the checkers' rules.
  */
 class CutOffTest {
     private static final long SECOND = 1_000_000;
     private static final long LEAD = 9 * SECOND;
     private static final long STEP = 20_000;
-    /** What was acknowledged so long ago is known to whoever vouches. */
+    /** Changes acknowledged this long ago must be known to every synced registry. */
     private static final long KNOWN = 2 * SECOND;
 
     private record Acked(long at, long version) {}
 
     private final Deque<Acked> acked = new ArrayDeque<>();
     private final List<String> answers = new ArrayList<>();
-    private World world;
+    private Simulation simulation;
 
     @BeforeAll
     static void quiet() {
@@ -40,7 +40,7 @@
     }
 
     private void at(long since, Runnable task) {
-        world.time.after(since, task);
+        simulation.time.after(since, task);
     }
 
     private void each(long from, long until, Runnable task) {
@@ -53,48 +53,48 @@
     }
 
     private Machine core(int number) {
-        return world.machines(true).get(number);
+        return simulation.machines(true).get(number);
     }
 
     private Machine edge(int number) {
-        return world.machines(false).get(number);
+        return simulation.machines(false).get(number);
     }
 
     private void cut(Machine one, boolean does, List<Machine> others) {
         others.stream().filter(other -> other != one).forEach(other -> {
-            world.cut(one, other, does);
-            world.cut(other, one, does);
+            simulation.cut(one, other, does);
+            simulation.cut(other, one, does);
         });
         if (does) {
-            one.trouble();
+            one.beginFault();
         } else {
-            one.calm(world.time.now());
+            one.endFault(simulation.time.now());
         }
     }
 
-    /** The first core machine and the first edge reach each other and nobody else. */
+    /** The first core machine and the first edge reach only each other. */
     private void wrongSide(boolean does) {
-        List<Machine> others = new ArrayList<>(world.machines(true));
+        List<Machine> others = new ArrayList<>(simulation.machines(true));
         others.remove(core(0));
         cut(edge(0), does, others);
-        others.addAll(world.machines(false));
+        others.addAll(simulation.machines(false));
         others.remove(edge(0));
         cut(core(0), does, others);
-        others.removeAll(world.machines(true));
+        others.removeAll(simulation.machines(true));
         others.forEach(other -> {
-            world.cut(edge(0), other, does);
-            world.cut(other, edge(0), does);
+            simulation.cut(edge(0), other, does);
+            simulation.cut(other, edge(0), does);
         });
     }
 
     private boolean edgeReady(Machine machine) {
-        return world.process(Program.PROXY, machine) instanceof Edge edge && edge.ready();
+        return simulation.process(Program.PROXY, machine) instanceof Edge edge && edge.ready();
     }
 
-    /** No registry vouches that lacks what was acknowledged {@link #KNOWN} ago. */
+    /** No synced registry lacks what was acknowledged {@link #KNOWN} ago. */
     private void vouchersKnowWhatIsAcknowledged() {
-        long now = world.time.now();
-        long newest = world.referee.newest();
+        long now = simulation.time.now();
+        long newest = simulation.requestChecker.newest();
         if (acked.isEmpty() || acked.getLast().version < newest) {
             acked.add(new Acked(now, newest));
         }
@@ -102,13 +102,13 @@
             acked.poll();
         }
         long known = acked.getFirst().at < now - KNOWN ? acked.getFirst().version : 0;
-        for (Machine machine : world.machines(true)) {
+        for (Machine machine : simulation.machines(true)) {
             if (machine.frozenUntil <= now
-                    && world.process(Program.REGISTRY, machine) instanceof Registry registry
-                    && registry.office.synced()) {
-                Entry held = registry.office.state().get(Kind.CONFIGURATION, "");
+                    && simulation.process(Program.REGISTRY, machine) instanceof Registry registry
+                    && registry.registryNode.synced()) {
+                Entry held = registry.registryNode.state().get(Kind.CONFIGURATION, "");
                 assertThat(held == null ? 0 : held.stamp())
-                        .as(machine.ip + " vouches at " + now / 1e6)
+                        .as(machine.ip + " is synced at " + now / 1e6)
                         .isGreaterThanOrEqualTo(known);
             }
         }
@@ -117,69 +117,70 @@
     @ParameterizedTest
     @CsvSource({"20,1", "20,2", "20,3", "7,4", "3,5"})
     void nobodyBecomesReadyByARegistryThatIsCutOff(long span, long seed) {
-        Day day = new Day(
+        Scenario scenario = new Scenario(
                 3,
                 4,
                 seed,
                 34 * SECOND,
                 List.of(
-                        new Trouble(Trouble.Kind.CONFIG, 6 * SECOND, 0, 0),
-                        new Trouble(Trouble.Kind.CONFIG_RACE, 10 * SECOND, 0, 0),
-                        new Trouble(Trouble.Kind.PURGE_STORM, 7 * SECOND, 6 * SECOND, 1),
-                        new Trouble(Trouble.Kind.DRAIN, 8 * SECOND, 0, 0),
-                        new Trouble(Trouble.Kind.RELEASE, 14 * SECOND, 0, 1)),
-                Trouble.Closing.NONE);
-        world = new World(day, Plant.NONE, null);
+                        new Fault(Fault.Kind.CONFIG, 6 * SECOND, 0, 0),
+                        new Fault(Fault.Kind.CONFIG_RACE, 10 * SECOND, 0, 0),
+                        new Fault(Fault.Kind.PURGE_STORM, 7 * SECOND, 6 * SECOND, 1),
+                        new Fault(Fault.Kind.DRAIN, 8 * SECOND, 0, 0),
+                        new Fault(Fault.Kind.RELEASE, 14 * SECOND, 0, 1)),
+                Fault.Closing.NONE);
+        simulation = new Simulation(scenario, InjectedDefect.NONE, null);
         long heal = LEAD + (4 + span) * SECOND;
         at(LEAD + 4 * SECOND, () -> wrongSide(true));
-        at(LEAD + 6 * SECOND, () -> world.stop(edge(0), false));
-        at(LEAD + 6 * SECOND, () -> world.start(edge(0), false));
+        at(LEAD + 6 * SECOND, () -> simulation.stop(edge(0), false));
+        at(LEAD + 6 * SECOND, () -> simulation.start(edge(0), false));
         each(LEAD + 5 * SECOND, LEAD + 33 * SECOND, this::vouchersKnowWhatIsAcknowledged);
         if (span > 3) {
             each(LEAD + 6_100_000, heal, () -> assertThat(edgeReady(edge(0)))
-                    .as("ready at " + world.time.now() / 1e6)
+                    .as("ready at " + simulation.time.now() / 1e6)
                     .isFalse());
         }
         at(heal, () -> wrongSide(false));
         at(heal + 3 * SECOND, () -> assertThat(edgeReady(edge(0))).isTrue());
-        world.play();
+        simulation.run();
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"/v1/purge", "/v1/nodes/x-9/heartbeat", "/v1/nodes/x-9/deregister"})
     void aRegistryThatIsCutOffSendsOrdersElsewhereAtOnce(String path) {
-        world = new World(new Day(3, 2, 3, 12 * SECOND, List.of(), Trouble.Closing.NONE), Plant.NONE, null);
+        simulation = new Simulation(
+                new Scenario(3, 2, 3, 12 * SECOND, List.of(), Fault.Closing.NONE), InjectedDefect.NONE, null);
         String body = path.endsWith("purge")
                 ? "{\"tag\":\"all\"}"
                 : "{\"backend\":\"orders\",\"address\":\"10.9.9.9:80\",\"capacity\":1,\"state\":\"draining\",\"callSeq\":1}";
         at(LEAD + 2 * SECOND, () -> wrongSide(true));
         for (long since : new long[] {2_100_000, 2_500_000, 3_200_000, 5_000_000, 9_000_000}) {
             at(LEAD + since, () -> {
-                long sent = world.time.now();
-                world.call("test", core(0), "POST", path, body, SECOND, (status, text) -> {
+                long sent = simulation.time.now();
+                simulation.call("test", core(0), "POST", path, body, SECOND, (status, text) -> {
                     answers.add(status + "");
                     assertThat(status).isEqualTo(503);
                     if (since > 3_000_000) {
-                        assertThat(world.time.now() - sent).isLessThan(20_000);
+                        assertThat(simulation.time.now() - sent).isLessThan(20_000);
                     }
                 });
             });
         }
-        world.play();
+        simulation.run();
         assertThat(answers).hasSize(5);
     }
 
     private void powerLostEverywhere(boolean edgesToo) {
-        List<Machine> all = new ArrayList<>(world.machines(true));
+        List<Machine> all = new ArrayList<>(simulation.machines(true));
         if (edgesToo) {
-            all.addAll(world.machines(false));
+            all.addAll(simulation.machines(false));
         }
         all.forEach(machine -> {
-            machine.trouble();
-            world.stop(machine, true);
-            world.time.after(SECOND, () -> {
-                world.start(machine, false);
-                machine.calm(world.time.now());
+            machine.beginFault();
+            simulation.stop(machine, true);
+            simulation.time.after(SECOND, () -> {
+                simulation.start(machine, false);
+                machine.endFault(simulation.time.now());
             });
         });
     }
@@ -192,7 +193,8 @@
     @ParameterizedTest
     @CsvSource({"heartbeat,1", "heartbeat,2", "heartbeat,3", "deregister,4", "deregister,5", "deregister,6"})
     void whatWasAcknowledgedIsKnownBeforeAnybodyIsReadyAgain(String how, long seed) {
-        world = new World(new Day(3, 3, seed, 16 * SECOND, List.of(), Trouble.Closing.NONE), Plant.NONE, null);
+        simulation = new Simulation(
+                new Scenario(3, 3, seed, 16 * SECOND, List.of(), Fault.Closing.NONE), InjectedDefect.NONE, null);
         String ready =
                 "{\"backend\":\"orders\",\"address\":\"10.9.9.9:80\",\"capacity\":1,\"state\":\"ready\",\"callSeq\":1}";
         String leaving = ready.replace("ready", "draining").replace("\"callSeq\":1", "\"callSeq\":2");
@@ -200,66 +202,66 @@
         long[] back = new long[1];
         at(
                 LEAD + 2 * SECOND,
-                () -> world.call(
+                () -> simulation.call(
                         "test", core(1), "POST", "/v1/nodes/x-1/heartbeat", ready, SECOND, (status, text) -> {}));
         at(
                 LEAD + 4 * SECOND,
-                () -> world.call("test", core(0), "POST", "/v1/nodes/x-1/" + how, leaving, SECOND, (status, text) -> {
-                    assertThat(status).isEqualTo(200);
-                    powerLostEverywhere(true);
-                    lost[0] = true;
-                }));
+                () -> simulation.call(
+                        "test", core(0), "POST", "/v1/nodes/x-1/" + how, leaving, SECOND, (status, text) -> {
+                            assertThat(status).isEqualTo(200);
+                            powerLostEverywhere(true);
+                            lost[0] = true;
+                        }));
         each(LEAD + 4 * SECOND, LEAD + 14 * SECOND, () -> {
-            for (Machine machine : world.machines(true)) {
+            for (Machine machine : simulation.machines(true)) {
                 if (lost[0]
-                        && world.process(Program.REGISTRY, machine) instanceof Registry registry
-                        && registry.office.synced()) {
-                    back[0] = back[0] == 0 ? world.time.now() : back[0];
-                    assertThat(leaves(registry.office.state().get(Kind.SERVER, "x-1")))
-                            .as(machine.ip + " vouches")
+                        && simulation.process(Program.REGISTRY, machine) instanceof Registry registry
+                        && registry.registryNode.synced()) {
+                    back[0] = back[0] == 0 ? simulation.time.now() : back[0];
+                    assertThat(leaves(registry.registryNode.state().get(Kind.SERVER, "x-1")))
+                            .as(machine.ip + " is synced")
                             .isTrue();
                 }
             }
-            for (Edge edge : world.edges()) {
+            for (Edge edge : simulation.edges()) {
                 if (lost[0] && edge.ready()) {
-                    assertThat(leaves(edge.lookout.gossipState().get(Kind.SERVER, "x-1")))
+                    assertThat(leaves(edge.proxyNode.gossipState().get(Kind.SERVER, "x-1")))
                             .as(edge.machine.ip + " is ready")
                             .isTrue();
                 }
             }
         });
-        world.play();
+        simulation.run();
         // Power is back a second later, processes listen 0.5 to 0.75 s after that, and the store has to elect.
         assertThat(back[0]).isBetween(1L, 10 * SECOND + LEAD + 4 * SECOND + SECOND + 3 * SECOND);
-        assertThat(world.edges()).allMatch(Edge::ready);
+        assertThat(simulation.edges()).allMatch(Edge::ready);
     }
 
-    /** Edges that do not hear of a purge for a second, while the core that acknowledged it loses all power. */
+    /** Edges receive no purge for a second while the core that acknowledged it loses all power. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void aPurgeOutlivesPowerLostEverywhereRightAfterItsAcknowledgement(long seed) {
-        Day day = new Day(
-                3,
-                3,
-                seed,
-                18 * SECOND,
-                List.of(new Trouble(Trouble.Kind.PURGE, 6 * SECOND, 0, 0)),
-                Trouble.Closing.NONE);
-        world = new World(day, Plant.NONE, null);
+        Scenario scenario = new Scenario(
+                3, 3, seed, 18 * SECOND, List.of(new Fault(Fault.Kind.PURGE, 6 * SECOND, 0, 0)), Fault.Closing.NONE);
+        simulation = new Simulation(scenario, InjectedDefect.NONE, null);
         boolean[] struck = new boolean[1];
-        at(LEAD + 6 * SECOND - 1, () -> world.machines(false).forEach(one -> cut(one, true, world.machines(true))));
         at(
                 LEAD + 6 * SECOND - 1,
-                () -> world.onAck(machine -> {
+                () -> simulation.machines(false).forEach(one -> cut(one, true, simulation.machines(true))));
+        at(
+                LEAD + 6 * SECOND - 1,
+                () -> simulation.onAck(machine -> {
                     struck[0] = true;
                     powerLostEverywhere(false);
                 }));
-        at(LEAD + 7 * SECOND, () -> world.machines(false).forEach(one -> cut(one, false, world.machines(true))));
-        at(LEAD + 10 * SECOND, () -> world.edges()
-                .forEach(edge -> assertThat(edge.lookout.gossipState().all(Kind.PURGE))
-                        .as(edge.machine.ip)
-                        .hasSize(1)));
-        world.play(); // the referee knows what may be served
+        at(
+                LEAD + 7 * SECOND,
+                () -> simulation.machines(false).forEach(one -> cut(one, false, simulation.machines(true))));
+        at(LEAD + 10 * SECOND, () -> simulation.edges().forEach(edge -> assertThat(
+                        edge.proxyNode.gossipState().all(Kind.PURGE))
+                .as(edge.machine.ip)
+                .hasSize(1)));
+        simulation.run(); // the checker knows what may be served
         assertThat(struck[0]).isTrue();
     }
 }
--- a/src/test/java/gorsemast/simulation/HardDaysTest.java
+++ b/src/test/java/gorsemast/simulation/HardDaysTest.java
@@ -3,62 +3,62 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gorsemast.http.NettyLog;
-import gorsemast.simulation.Trouble.Closing;
-import gorsemast.simulation.Trouble.Kind;
+import gorsemast.simulation.Fault.Closing;
+import gorsemast.simulation.Fault.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntFunction;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** Days made for the hard cases of the control side, each played from many seeds. */
+/** Scenarios for the hard cases of the control plane, each run from many seeds. */
 class HardDaysTest {
     private static final long SECOND = 1_000_000;
     private static final int SEEDS = 24;
-    private static final int PURGES = 3 * Trouble.HOW;
-    private static final int DRAINS = 2 * Trouble.HOW;
+    private static final int PURGES = 3 * Fault.HOW;
+    private static final int DRAINS = 2 * Fault.HOW;
 
     @BeforeAll
     static void quiet() {
         NettyLog.install();
     }
 
-    private static Trouble at(double seconds, Kind kind, double span, int pick) {
-        return new Trouble(kind, (long) (seconds * SECOND), (long) (span * SECOND), pick);
+    private static Fault at(double seconds, Kind kind, double span, int pick) {
+        return new Fault(kind, (long) (seconds * SECOND), (long) (span * SECOND), pick);
     }
 
-    private static Day day(int seed, Trouble... troubles) {
-        return new Day(3, 4, seed, 26 * SECOND, List.of(troubles), Closing.NONE);
+    private static Scenario scenario(int seed, Fault... faults) {
+        return new Scenario(3, 4, seed, 26 * SECOND, List.of(faults), Closing.NONE);
     }
 
-    private static void holds(IntFunction<Day> days) {
-        Hunt.Result result = Hunt.run(days, SEEDS, Plant.NONE, 1);
-        assertThat(result.found())
+    private static void holds(IntFunction<Scenario> days) {
+        ScenarioSearch.Result result = ScenarioSearch.run(days, SEEDS, InjectedDefect.NONE, 1);
+        assertThat(result.failures())
                 .extracting(found ->
-                        found.broken().getMessage() + "\n" + found.day().asTest())
+                        found.violation().getMessage() + "\n" + found.scenario().toTestCode())
                 .isEmpty();
     }
 
-    /** Ways of a cut by number: silent, reset, refused. */
+    /** The kinds of a cut by number: silent, reset, refused. */
     private static int how(int seed) {
-        return seed % 3 * Trouble.HOW + seed;
+        return seed % 3 * Fault.HOW + seed;
     }
 
     // ---- two contents under one number
 
     @Test
     void twoContentsUnderOneNumberAtOnce() {
-        holds(seed -> day(seed, at(3, Kind.SAME_NUMBER, 1, 0), at(6, Kind.SAME_NUMBER, 1, 0)));
+        holds(seed -> scenario(seed, at(3, Kind.SAME_NUMBER, 1, 0), at(6, Kind.SAME_NUMBER, 1, 0)));
     }
 
     @Test
     void twoContentsUnderOneNumberOneAfterTheOther() {
-        holds(seed -> day(seed, at(3, Kind.SAME_NUMBER, 1 + seed / 4.0, 1), at(8, Kind.BAD_CONFIG, 0, 5)));
+        holds(seed -> scenario(seed, at(3, Kind.SAME_NUMBER, 1 + seed / 4.0, 1), at(8, Kind.BAD_CONFIG, 0, 5)));
     }
 
     @Test
     void twoContentsUnderOneNumberInATakeOver() {
-        holds(seed -> day(
+        holds(seed -> scenario(
                 seed,
                 at(3, Kind.CUT_LEADER, 6, how(seed)),
                 at(3.05 + seed * 0.05, Kind.SAME_NUMBER, 1, seed),
@@ -68,12 +68,12 @@
 
     @Test
     void theLosersMachineTellsTheEdgesOverALinkThatIsHeldUp() {
-        holds(seed -> day(seed, at(3, Kind.HOLD_LINK, 8, seed), at(6 + seed * 0.05, Kind.SAME_NUMBER, 1, 0)));
+        holds(seed -> scenario(seed, at(3, Kind.HOLD_LINK, 8, seed), at(6 + seed * 0.05, Kind.SAME_NUMBER, 1, 0)));
     }
 
     @Test
     void theSameOrderAgainWhoeverIsAskedAndHoweverOften() {
-        holds(seed -> day(
+        holds(seed -> scenario(
                 seed,
                 at(1, Kind.LOSE_ACKS, 20, 0),
                 at(2, Kind.CONFIG_THRICE, 0, 0),
@@ -84,15 +84,15 @@
                 at(6.1, Kind.CONFIG_AGAIN, 0, 0),
                 at(7, Kind.BAD_CONFIG, 0, 7),
                 at(8, Kind.BAD_CONFIG, 0, 6),
-                at(14, Kind.POWER_ALL_AFTER_ACK, 1, Trouble.HOW),
+                at(14, Kind.POWER_ALL_AFTER_ACK, 1, Fault.HOW),
                 at(15, Kind.CONFIG_THRICE, 0, 0),
                 at(16, Kind.CONFIG_AGAIN, 0, 1)));
     }
 
     // ---- a machine that is cut off
 
-    private static Day cut(int seed, Kind kind) {
-        List<Trouble> all = new ArrayList<>();
+    private static Scenario cut(int seed, Kind kind) {
+        List<Fault> all = new ArrayList<>();
         all.add(at(2, kind, 20, how(seed)));
         for (int i = 0; i < 9; i++) {
             all.add(at(2.1 + 2 * i + seed * 0.05, Kind.CONFIG, 0, 0));
@@ -101,7 +101,7 @@
         }
         all.add(at(9, Kind.KILL_EDGE, 0, seed));
         all.add(at(22 - 0.01 * (seed % 4), Kind.CONFIG_MANY, 0, 0));
-        return new Day(3, 4, seed, 28 * SECOND, all, Closing.NONE);
+        return new Scenario(3, 4, seed, 28 * SECOND, all, Closing.NONE);
     }
 
     @Test
@@ -129,14 +129,14 @@
         holds(seed -> cut(seed, Kind.CUT_SEEDS));
     }
 
-    // ---- what was acknowledged outlives a loss of power
+    // ---- what was acknowledged survives a power loss
 
-    private static Day powerLost(int seed, int what, Kind order) {
-        return day(
+    private static Scenario powerLost(int seed, int what, Kind order) {
+        return scenario(
                 seed,
                 at(4, Kind.FREEZE_EDGES, 3, 0),
                 at(4.1, Kind.POWER_ALL_AFTER_ACK, 1, what),
-                at(4.2, order, 12, 1 + seed + Trouble.HOW));
+                at(4.2, order, 12, 1 + seed + Fault.HOW));
     }
 
     @Test
@@ -151,18 +151,18 @@
 
     @Test
     void aPurgeOutlivesAWipeOfOneAndTheLossOfPowerOfTheOthers() {
-        holds(seed -> day(
+        holds(seed -> scenario(
                 seed,
                 at(4, Kind.FREEZE_EDGES, 3, 0),
                 at(4.1, Kind.WIPE_REST_POWER, 1, PURGES + seed),
                 at(4.2, Kind.PURGE, 0, 1 + seed)));
     }
 
-    // ---- members that come and go
+    // ---- membership changes
 
     @Test
     void allAreReplacedInTurnAndAllListsAreOld() {
-        holds(seed -> new Day(
+        holds(seed -> new Scenario(
                 3,
                 4,
                 seed,
@@ -177,7 +177,7 @@
 
     @Test
     void lostReplacedAndLostAgain() {
-        holds(seed -> new Day(
+        holds(seed -> new Scenario(
                 seed % 2 == 0 ? 3 : 4,
                 4,
                 seed,
