--- a/src/main/java/gorsemast/modelcheck/MembershipCheck.java
+++ b/src/main/java/gorsemast/modelcheck/MembershipCheck.java
@@ -50,7 +50,7 @@
                             members, more, FaultTolerance.ofMachines(losses), Map.of(), seeds.nextLong(), defect)
                     .recordingEvents();
             try {
-                new MembershipCheck(simulation, losses, seeds.split()).course(changes);
+                new MembershipCheck(simulation, losses, seeds.split()).runScenario(changes);
             } catch (StoreSimulation.Violation e) {
                 return new Result(c + 1, answered, e.getMessage(), simulation.eventLog());
             }
@@ -59,31 +59,31 @@
         return new Result(scenarios, answered, null, List.of());
     }
 
-    private void course(int changes) {
+    private void runScenario(int changes) {
         simulation.calm(SECOND);
         machines.forEach(simulation::start);
         simulation.calm(SYNC_TIME + 2 * SECOND);
         for (int i = 0; i < changes; i++) {
-            put();
-            change();
-            put();
-            lose();
+            acknowledgeUpdate();
+            changeMembership();
+            acknowledgeUpdate();
+            loseMachines();
             if (random.nextBoolean()) {
-                lose(); // with no update in between, which would bring a replica up to date
+                loseMachines(); // with no update in between, which would bring a replica up to date
             }
         }
         simulation.heal();
     }
 
-    private String any() {
+    private String randomMachine() {
         return machines.get(random.nextInt(machines.size()));
     }
 
     /** Sends an update until it is acknowledged. */
-    private void put() {
+    private void acknowledgeUpdate() {
         long before = simulation.newest();
         for (int i = 0; i < 40 && simulation.newest() == before; i++) {
-            simulation.put(simulation.leader() == null ? any() : simulation.leader(), i > 0);
+            simulation.put(simulation.leader() == null ? randomMachine() : simulation.leader(), i > 0);
             simulation.calm(SECOND / 10);
         }
         if (simulation.newest() == before) {
@@ -91,16 +91,16 @@
         }
     }
 
-    private void change() {
-        String old = any();
+    private void changeMembership() {
+        String old = randomMachine();
         switch (random.nextInt(7)) {
             case 0 -> { // at another address, without notice
                 simulation.remove(old);
                 simulation.rough(random.nextLong(SECOND));
                 machines.set(machines.indexOf(old), join());
             }
-            case 1 -> planned(old, false);
-            case 2 -> planned(old, true);
+            case 1 -> replacePlanned(old, false);
+            case 2 -> replacePlanned(old, true);
             case 3 -> { // its disk is lost
                 simulation.lose(old);
                 simulation.rough(random.nextLong(SECOND));
@@ -137,7 +137,7 @@
     }
 
     /** Adds the new machine first; then the old one is asked to leave and killed half way or given its grace period. */
-    private void planned(String old, boolean killed) {
+    private void replacePlanned(String old, boolean killed) {
         String joins = join();
         simulation.calm(SYNC_TIME);
         if (killed) {
@@ -149,15 +149,15 @@
         simulation.remove(old);
         machines.set(machines.indexOf(old), joins);
         if (!killed && random.nextBoolean()) {
-            lose(); // the successor had time to sync, and the old one to hand over
+            loseMachines(); // the successor had time to sync, and the old one to hand over
         }
     }
 
     /** Loses as many machines as allowed, perhaps with a power loss of the others; checks that a read answers and restarts them. */
-    private void lose() {
+    private void loseMachines() {
         List<String> lost = new ArrayList<>();
         while (lost.size() < losses) {
-            String one = any();
+            String one = randomMachine();
             if (!lost.contains(one)) {
                 lost.add(one);
                 simulation.lose(one);
@@ -193,7 +193,7 @@
             simulation.calm(SECOND);
             check.machines.forEach(simulation::start);
             simulation.calm(SYNC_TIME + 2 * SECOND);
-            check.put();
+            check.acknowledgeUpdate();
             for (int i = 0; i < zones.size(); i++) {
                 if (zones.get(i).equals(lost)) {
                     simulation.remove("m" + (i + 1));
--- a/src/main/java/gorsemast/modelcheck/ModelMachine.java
+++ b/src/main/java/gorsemast/modelcheck/ModelMachine.java
@@ -228,7 +228,7 @@
                 && !simulation.links.isCut(to.ip, ip)) {
             simulation.later.add(() -> {
                 if (to.replica != null) {
-                    simulation.enter(to, call, request);
+                    simulation.deliverCall(to, call, request);
                 }
             });
         } else {
--- a/src/main/java/gorsemast/modelcheck/RegistryMachine.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryMachine.java
@@ -51,7 +51,7 @@
     }
 
     /** Whether the machine runs and is reachable. */
-    boolean reached() {
+    boolean isReachable() {
         return node != null && !frozen && !cut;
     }
 
@@ -182,7 +182,7 @@
 
     private void tick(int ofIncarnation) {
         run(ofIncarnation, () -> {
-            links();
+            updateLinks();
             simulation.store().sendMembers(this);
             node.tick();
             if (simulation.defect() == RegistryDefect.LEASE_NEVER_LAPSES && simulation.now() > 12_000_000) {
@@ -201,7 +201,7 @@
     }
 
     /** Links come up if both sides are reachable, and break after a long cut. */
-    private void links() {
+    private void updateLinks() {
         for (RegistryLink link : peerLinks.values()) {
             RegistryLink back = link.to().peerLinks.get(ip);
             boolean apart = cut || link.to().cut || link.to().frozen;
@@ -232,17 +232,17 @@
         }
         writes.clear();
         stalled = false;
-        away();
+        markAway();
     }
 
     /** From now on the machine counts as away. */
-    void away() {
+    void markAway() {
         awaySince = simulation.now();
         calmSince = Long.MAX_VALUE / 2;
     }
 
     /** From now on it counts as healthy again, if it is reachable. */
-    void back() {
+    void markBack() {
         if (node != null && !frozen && !cut) {
             calmSince = simulation.now();
         }
@@ -257,14 +257,14 @@
     /** The disk hangs: no write ends until {@link #resume}. */
     void stall() {
         stalled = true;
-        away();
+        markAway();
     }
 
     /** The disk works again, and what waited for it ends at once. */
     void resume() {
         if (stalled) {
             stalled = false;
-            back();
+            markBack();
             while (!writes.isEmpty()) {
                 writes.poll().run();
             }
@@ -274,7 +274,7 @@
     /** Resumes a frozen process, which first runs what fell due meanwhile. */
     void wake() {
         frozen = false;
-        back();
+        markBack();
         simulation.check(this);
         for (int i = deferredTasks.size(); i > 0 && node != null; i--) {
             deferredTasks.poll().run();
--- a/src/main/java/gorsemast/modelcheck/RegistrySimulation.java
+++ b/src/main/java/gorsemast/modelcheck/RegistrySimulation.java
@@ -160,9 +160,9 @@
         logEvent((does ? "cuts off " : "heals ") + ip);
         machine.cut = does;
         if (does) {
-            machine.away();
+            machine.markAway();
         } else {
-            machine.back();
+            machine.markBack();
             machine.peerLinks.values().forEach(RegistryLink::drain);
             machine.peerLinks
                     .values()
@@ -176,7 +176,7 @@
         if (machine.node != null && !machine.frozen && mayLose()) {
             logEvent("freezes " + ip);
             machine.frozen = true;
-            machine.away();
+            machine.markAway();
         }
     }
 
@@ -222,7 +222,7 @@
     private void start(RegistryMachine machine) {
         if (machine.node == null) {
             machine.begin(false);
-            machine.back();
+            machine.markBack();
         }
     }
 
@@ -234,9 +234,9 @@
                 .findFirst()
                 .orElseThrow();
         if (store.view().contains(ip)
-                && !gone.reached()
+                && !gone.isReachable()
                 && now - gone.awaySince > GONE_MICROS
-                && machines.get(spare).reached()
+                && machines.get(spare).isReachable()
                 && store.replace(ip, spare)) {
             logEvent(spare + " takes the place of " + ip);
         }
--- a/src/main/java/gorsemast/modelcheck/StoreMembers.java
+++ b/src/main/java/gorsemast/modelcheck/StoreMembers.java
@@ -123,7 +123,7 @@
     }
 
     /** A call reaches a replica. */
-    void enter(ModelMachine at, long call, Call request) {
+    void deliverCall(ModelMachine at, long call, Call request) {
         if (request.update() != null) {
             if (defect == StoreDefect.CONFLICT_BEFORE_THE_ROUND && at.refusesAtOnce(request.update())) {
                 at.complete(call, CallOutcome.CONFLICT, at.replica.stored());
@@ -196,7 +196,7 @@
                 eventLog.add(
                         now / 1_000 + " " + ip + " is sent " + request.update().content());
             }
-            enter(at, call, request);
+            deliverCall(at, call, request);
         }
     }
 
--- a/src/main/java/gorsemast/modelcheck/StoreStub.java
+++ b/src/main/java/gorsemast/modelcheck/StoreStub.java
@@ -34,12 +34,15 @@
 
     /** The number of reachable members of the view. */
     long reached() {
-        return view.stream().map(machines::get).filter(RegistryMachine::reached).count();
+        return view.stream()
+                .map(machines::get)
+                .filter(RegistryMachine::isReachable)
+                .count();
     }
 
     private boolean majority(RegistryMachine with) {
         long reached = reached();
-        return with.reached() && reached >= MAJORITY;
+        return with.isReachable() && reached >= MAJORITY;
     }
 
     /** Acknowledges a version if a majority of the view is reachable; returns its number or 0. */
--- a/src/main/java/gorsemast/simulation/Clients.java
+++ b/src/main/java/gorsemast/simulation/Clients.java
@@ -102,7 +102,7 @@
     }
 
     private void deliver(Edge edge, String attempt, String path, boolean unsafe, long sentAt, boolean late) {
-        Configuration now = edge.goesBy();
+        Configuration now = edge.currentConfiguration();
         if (now != null) {
             simulation.configurationChecker.handles(edge, now.version(), edge.content(now), sentAt);
         }
@@ -111,7 +111,7 @@
                 path,
                 answer -> simulation.time.after(simulation.links.randomLatency(1_000), () -> {
                     simulation.requestChecker.answered(edge, attempt, path, unsafe, sentAt, answer);
-                    if (answer.told() == Edge.Told.SERVED) {
+                    if (answer.result() == Edge.RequestResult.SERVED) {
                         served++;
                         servedLate += late ? 1 : 0;
                         if (restored > 0 && !again && sentAt > restored) {
--- a/src/main/java/gorsemast/simulation/ConfigurationChecker.java
+++ b/src/main/java/gorsemast/simulation/ConfigurationChecker.java
@@ -19,7 +19,7 @@
     private record Acknowledged(long number, String content, long at) {}
 
     /** The contents sent under one version number and what became of them. */
-    private static final class Number {
+    private static final class VersionContents {
         final Set<String> sent = new LinkedHashSet<>();
         /** When a machine first answered 200, whether or not the answer arrived. */
         final Map<String, Long> taken = new HashMap<>();
@@ -43,7 +43,7 @@
     }
 
     private final Simulation simulation;
-    private final Map<Long, Number> numbers = new HashMap<>();
+    private final Map<Long, VersionContents> numbers = new HashMap<>();
     /** In the order of their acknowledgement, each with a higher number than the one before. */
     private final List<Acknowledged> steps = new ArrayList<>();
 
@@ -56,8 +56,8 @@
         this.simulation = simulation;
     }
 
-    private Number number(long number) {
-        return numbers.computeIfAbsent(number, n -> new Number());
+    private VersionContents number(long number) {
+        return numbers.computeIfAbsent(number, n -> new VersionContents());
     }
 
     private static Violation violation(String text) {
@@ -81,7 +81,7 @@
      * @param sentAt when this call was sent
      */
     void answered(long number, String content, int status, long sentAt) {
-        Number known = number(number);
+        VersionContents known = number(number);
         if (status / 100 == 2) {
             known.taken.putIfAbsent(content, simulation.time.now());
             if (highestSent <= number) {
@@ -150,7 +150,7 @@
             throw violation(who + " reverts from version " + edge.seenVersion + " to " + number);
         }
         if (number == edge.seenVersion && !content.equals(edge.seenContent)) {
-            Number known = number(number);
+            VersionContents known = number(number);
             if (edge.seenContent.equals(known.heldContent())) {
                 throw violation(who + " switches from the acknowledged content of number " + number + " to another");
             }
@@ -158,7 +158,7 @@
         edge.seenVersion = number;
         edge.seenContent = content;
         if (handled.add(content)) {
-            Number known = number(number);
+            VersionContents known = number(number);
             if (!known.sent.contains(content)) {
                 throw violation(who + " applies a content of number " + number + " that no operator sent");
             }
@@ -213,7 +213,7 @@
 
     /** A core machine has answered a read with this configuration. */
     void read(long number, String content) {
-        Number known = number(number);
+        VersionContents known = number(number);
         if (!known.sent.contains(content) || known.refused.contains(content)) {
             throw violation("version " + number + " is read with a content that was not sent, or was refused");
         }
--- a/src/main/java/gorsemast/simulation/CoreProcesses.java
+++ b/src/main/java/gorsemast/simulation/CoreProcesses.java
@@ -43,7 +43,7 @@
                             machine.zone,
                             machine.ip + ":80",
                             wall(),
-                            Simulation.BEAT_MICROS,
+                            Simulation.HEARTBEAT_MICROS,
                             simulation.losses(),
                             firstBoot),
                     simulation.seeds(),
@@ -53,14 +53,14 @@
                     this,
                     this);
             registryNode.restore(machine.disk.known, machine.disk.journal);
-            each(RegistryNode.TICK_MICROS, this::tick);
+            runPeriodically(RegistryNode.TICK_MICROS, this::tick);
         }
 
         private void tick() {
             Set<Target> wanted = new LinkedHashSet<>();
             registryNode.peerAddresses().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
             wanted.add(new Target(Program.STORE, machine.ip));
-            keep(wanted);
+            maintainLinks(wanted);
             registryNode.tick();
         }
 
@@ -89,17 +89,17 @@
         }
 
         @Override
-        void linked(Neighbour one) {
+        void linkUp(Neighbour one) {
             registryNode.connected(one);
         }
 
         @Override
-        void unlinked(Neighbour one) {
+        void linkDown(Neighbour one) {
             // its state remains valid
         }
 
         @Override
-        void heardFrom(Neighbour one, PeerMessage record) {
+        void recordReceived(Neighbour one, PeerMessage record) {
             registryNode.received(one, record instanceof PeerMessage.StoreAnswer answer ? applyDefect(answer) : record);
         }
 
@@ -210,14 +210,14 @@
                             this,
                             this::save)
                     : new StoreNode(machine.ip, seeds, disk.saved, tolerance, place, seed, this::now, this, this::save);
-            each(StoreNode.TICK_MICROS, this::tick);
+            runPeriodically(StoreNode.TICK_MICROS, this::tick);
         }
 
         private void tick() {
             storeNode.tick();
             Set<Target> wanted = new LinkedHashSet<>();
             storeNode.peerAddresses().forEach(ip -> wanted.add(new Target(Program.STORE, ip)));
-            keep(wanted);
+            maintainLinks(wanted);
         }
 
         private void save(ReplicaState state, boolean withVersion, long token) {
@@ -284,17 +284,17 @@
         }
 
         @Override
-        void linked(Neighbour one) {
+        void linkUp(Neighbour one) {
             storeNode.up(one);
         }
 
         @Override
-        void unlinked(Neighbour one) {
+        void linkDown(Neighbour one) {
             storeNode.down(one);
         }
 
         @Override
-        void heardFrom(Neighbour one, PeerMessage record) {
+        void recordReceived(Neighbour one, PeerMessage record) {
             storeNode.received(one, record);
         }
     }
--- a/src/main/java/gorsemast/simulation/Edge.java
+++ b/src/main/java/gorsemast/simulation/Edge.java
@@ -36,7 +36,7 @@
     private static final long OBJECT_MICROS = 1_500_000;
 
     /** How a client's request ended. */
-    enum Told {
+    enum RequestResult {
         SERVED,
         REFUSED,
         NO_ROUTE,
@@ -44,7 +44,7 @@
     }
 
     /** A client's answer: the object's version, and whether it came from a cached response. */
-    record Answer(Told told, long version, boolean copy) {}
+    record Answer(RequestResult result, long version, boolean copy) {}
 
     final ProxyNode proxyNode;
     private final FetchCoordinator<String> fetchCoordinator;
@@ -63,7 +63,16 @@
     Edge(Simulation simulation, Machine machine) {
         super(simulation, machine, Program.PROXY);
         this.proxyNode = new ProxyNode(
-                machine.ip, machine.zone, 2, 2, wall(), simulation.seeds(), this::now, this, this::seen, this);
+                machine.ip,
+                machine.zone,
+                2,
+                2,
+                wall(),
+                simulation.seeds(),
+                this::now,
+                this,
+                this::collectObservations,
+                this);
         this.fetchCoordinator = new FetchCoordinator<>(
                 machine.ip,
                 this::now,
@@ -74,7 +83,7 @@
                 Double.POSITIVE_INFINITY,
                 simulation.random.nextLong(),
                 this);
-        each(ProxyNode.TICK_MICROS, this::tick);
+        runPeriodically(ProxyNode.TICK_MICROS, this::tick);
     }
 
     private void tick() {
@@ -87,10 +96,10 @@
         Set<Target> wanted = new LinkedHashSet<>();
         proxyNode.targetRegistries().forEach(ip -> wanted.add(new Target(Program.REGISTRY, ip)));
         proxyNode.targetEdges().forEach(ip -> wanted.add(new Target(Program.PROXY, ip)));
-        keep(wanted);
+        maintainLinks(wanted);
     }
 
-    private Map<String, double[]> seen() {
+    private Map<String, double[]> collectObservations() {
         Map<String, double[]> all = new HashMap<>();
         senders.values().forEach(sender -> sender.moduleConfiguration.collectObservations(all));
         return all;
@@ -103,7 +112,7 @@
     }
 
     /** The configuration under which a request is handled; null before the first. */
-    Configuration goesBy() {
+    Configuration currentConfiguration() {
         Configuration now = proxyNode.configuration();
         if (now != newest) {
             before = newest;
@@ -136,18 +145,18 @@
         Configuration now = proxyNode.configuration();
         Route route = now == null ? null : now.route(Simulation.HOST, path);
         if (now == null) {
-            answer.accept(new Answer(Told.REFUSED, 0, false));
+            answer.accept(new Answer(RequestResult.REFUSED, 0, false));
         } else if (route == null) {
-            answer.accept(new Answer(Told.NO_ROUTE, 0, false));
+            answer.accept(new Answer(RequestResult.NO_ROUTE, 0, false));
         } else if (route.kind() == Route.Kind.CACHEABLE) {
-            object(new ObjectRequest(route, Simulation.HOST, path), answer);
+            requestObject(new ObjectRequest(route, Simulation.HOST, path), answer);
         } else {
             EdgeSender sender = senders.get(route.selectService(simulation.random.nextDouble()));
             if (sender == null) {
-                answer.accept(new Answer(Told.REFUSED, 0, false));
+                answer.accept(new Answer(RequestResult.REFUSED, 0, false));
                 return;
             }
-            sender.take(
+            sender.submit(
                     attempt,
                     route,
                     path,
@@ -155,24 +164,26 @@
                     false,
                     result -> answer.accept(new Answer(
                             result.code() == EdgeSender.End.SERVED
-                                    ? Told.SERVED
-                                    : result.code() == EdgeSender.End.REFUSED ? Told.REFUSED : Told.FAILED,
+                                    ? RequestResult.SERVED
+                                    : result.code() == EdgeSender.End.REFUSED
+                                            ? RequestResult.REFUSED
+                                            : RequestResult.FAILED,
                             0,
                             false)));
         }
     }
 
-    private void object(ObjectRequest what, Consumer<Answer> answer) {
+    private void requestObject(ObjectRequest what, Consumer<Answer> answer) {
         CachedResponse held = fetchCoordinator.lookUp(what);
         if (held != null) {
-            answer.accept(new Answer(Told.SERVED, version(held), true));
+            answer.accept(new Answer(RequestResult.SERVED, version(held), true));
             return;
         }
         boolean[] over = new boolean[1];
         after(OBJECT_MICROS, () -> {
             if (!over[0]) {
                 over[0] = true;
-                answer.accept(new Answer(Told.FAILED, 0, false));
+                answer.accept(new Answer(RequestResult.FAILED, 0, false));
             }
         });
         fetchCoordinator.request(what, FetchCoordinator.HOP_CLIENT, now() + OBJECT_MICROS, new ObjectWaiter<>() {
@@ -185,27 +196,27 @@
 
             @Override
             public void onResponse(CachedResponse copy, boolean once) {
-                end(new Answer(Told.SERVED, version(copy), true));
+                end(new Answer(RequestResult.SERVED, version(copy), true));
             }
 
             @Override
             public void onUncacheable(String status) {
-                end(new Answer(Told.FAILED, 0, false));
+                end(new Answer(RequestResult.FAILED, 0, false));
             }
 
             @Override
             public void onRefused(long retryAfterMicros) {
-                end(new Answer(Told.REFUSED, 0, false));
+                end(new Answer(RequestResult.REFUSED, 0, false));
             }
 
             @Override
             public void onFailed() {
-                end(new Answer(Told.FAILED, 0, false));
+                end(new Answer(RequestResult.FAILED, 0, false));
             }
 
             @Override
             public void onTooLong() {
-                end(new Answer(Told.FAILED, 0, false));
+                end(new Answer(RequestResult.FAILED, 0, false));
             }
 
             @Override
@@ -236,7 +247,7 @@
             }
         });
         simulation.message(machine, question.edge(), Program.PROXY, there -> ((Edge) there)
-                .asked(
+                .handleHomeRequest(
                         question,
                         (end, version, age, ttl) ->
                                 simulation.message(there.machine, machine.ip, Program.PROXY, here -> {
@@ -262,7 +273,7 @@
         IN_HAND
     }
 
-    private interface Handed {
+    private interface HomeResponseCallback {
         /** @param version of the copy, its age and its life; 0 for none */
         void answer(HomeEnd end, long version, long age, long ttl);
 
@@ -271,7 +282,7 @@
         }
     }
 
-    private void asked(HomeRequest question, Handed handed) {
+    private void handleHomeRequest(HomeRequest question, HomeResponseCallback handed) {
         ObjectRequest what = question.object();
         Configuration now = proxyNode.configuration();
         Route route = now == null ? null : now.route(what.host(), what.uri());
@@ -328,7 +339,7 @@
         if (sender == null) {
             return false;
         }
-        sender.take(
+        sender.submit(
                 "o" + Long.toHexString(simulation.random.nextLong()),
                 what.route(),
                 what.uri(),
@@ -351,7 +362,7 @@
         return true;
     }
 
-    boolean another(String service) {
+    boolean tryAcquirePermit(String service) {
         return fetchCoordinator.tryAcquirePermit(service);
     }
 
@@ -389,7 +400,7 @@
                                 service,
                                 new ModuleConfiguration(machine.ip, 100, Simulation.BUDGET, 0, of, edges)));
             } else {
-                sender.retune(of, edges);
+                sender.updateRoutes(of, edges);
             }
             senders.get(service)
                     .moduleConfiguration
@@ -412,7 +423,7 @@
                                     : one)
                             .toList();
                 }
-                sender.servers(told, coldUntil);
+                sender.updateServers(told, coldUntil);
             }
         });
     }
@@ -424,7 +435,7 @@
 
     @Override
     public void speedsReceived(Map<String, double[]> pooled) {
-        senders.values().forEach(sender -> sender.heard(pooled));
+        senders.values().forEach(sender -> sender.applyObservations(pooled));
     }
 
     @Override
@@ -440,17 +451,17 @@
     }
 
     @Override
-    void linked(Neighbour one) {
+    void linkUp(Neighbour one) {
         proxyNode.up(one);
     }
 
     @Override
-    void unlinked(Neighbour one) {
+    void linkDown(Neighbour one) {
         // its state remains valid
     }
 
     @Override
-    void heardFrom(Neighbour one, PeerMessage record) {
+    void recordReceived(Neighbour one, PeerMessage record) {
         boolean mends = record instanceof PeerMessage.Digest || record instanceof PeerMessage.Summary;
         if (simulation.defect == InjectedDefect.MENDS_NOTHING
                 && proxyNode.ready()
--- a/src/main/java/gorsemast/simulation/EdgeConnections.java
+++ b/src/main/java/gorsemast/simulation/EdgeConnections.java
@@ -121,9 +121,9 @@
                 lost();
                 return;
             }
-            ResponseMatch whose = reply.told() == null
+            ResponseMatch whose = reply.attemptId() == null
                     ? ResponseMatch.UNIDENTIFIED
-                    : message != null && reply.told().equals(message.attempt())
+                    : message != null && reply.attemptId().equals(message.attempt())
                             ? ResponseMatch.BY_ID
                             : ResponseMatch.OTHER_REQUEST;
             Code code =
--- a/src/main/java/gorsemast/simulation/EdgeSender.java
+++ b/src/main/java/gorsemast/simulation/EdgeSender.java
@@ -84,29 +84,29 @@
         turns.event(() -> module.start(edge.now(), edge.simulation.random.nextLong(), moduleConfiguration.settings()));
     }
 
-    void retune(List<Route> routes, int edges) {
+    void updateRoutes(List<Route> routes, int edges) {
         if (moduleConfiguration.updateRoutes(routes, edges)) {
             turns.event(() -> module.reconfigure(edge.now(), moduleConfiguration.settings()));
         }
     }
 
-    void servers(Collection<ServerInfo> updates, Map<String, Long> coldUntil) {
+    void updateServers(Collection<ServerInfo> updates, Map<String, Long> coldUntil) {
         moduleConfiguration.updateServers(edge.now(), updates, coldUntil, zone -> 0);
-        tell();
+        sendServersToModule();
     }
 
-    private void tell() {
+    private void sendServersToModule() {
         turns.event(() -> module.servers(edge.now(), ListKind.FULL, moduleConfiguration.weightedServers(edge.now())));
     }
 
-    void heard(Map<String, double[]> pooled) {
+    void applyObservations(Map<String, double[]> pooled) {
         if (moduleConfiguration.applyPooledObservations(edge.now(), pooled)) {
-            tell();
+            sendServersToModule();
         }
     }
 
     /** @param counted whether its first attempt already counts against the service's rate limit */
-    void take(String attempt, Route route, String path, long giveUp, boolean counted, Consumer<Result> client) {
+    void submit(String attempt, Route route, String path, long giveUp, boolean counted, Consumer<Result> client) {
         Exchange x = new Exchange("r" + sequence++, attempt, route, path, giveUp, counted, state(route), client);
         open.put(x.id, x);
         edge.after(Math.max(0, giveUp - BACKSTOP_MICROS - edge.now()), () -> {
@@ -165,8 +165,8 @@
         ServerInstance server = moduleConfiguration.server(id);
         long wait = Math.min(until, x.giveUp - BACKSTOP_MICROS) - sentAt;
         boolean counted = attempt == 0 && x.counted;
-        if (!x.state.maySend() || server == null || wait <= 0 || !counted && !edge.another(service)) {
-            told(x, attempt, sentAt, Code.NOT_SENT);
+        if (!x.state.maySend() || server == null || wait <= 0 || !counted && !edge.tryAcquirePermit(service)) {
+            reportOutcome(x, attempt, sentAt, Code.NOT_SENT);
             return;
         }
         x.state.attemptSent(attempt);
@@ -175,7 +175,7 @@
         Servers.Request message = new Servers.Request(x.attempt, id, x.path, !x.route.isRepeatable(), service);
         x.out = connections.send(address, message, wait, (code, reply) -> {
             if (code == Code.OK && moduleConfiguration.recordAnswer(edge.now(), id, x.route, edge.now() - sentAt)) {
-                tell();
+                sendServersToModule();
             }
             ended(x, attempt, sentAt, code, reply == null ? 0 : reply.version());
         });
@@ -192,10 +192,10 @@
         Code heard = edge.simulation.defect == InjectedDefect.REPEATS_ALL && code.mayHaveRun && code != Code.OK
                 ? Code.FULL
                 : code;
-        told(x, attempt, sentAt, heard);
+        reportOutcome(x, attempt, sentAt, heard);
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code) {
+    private void reportOutcome(Exchange x, int attempt, long sentAt, Code code) {
         boolean over = x.state.isAnswered();
         turns.event(() -> {
             long now = edge.now();
--- a/src/main/java/gorsemast/simulation/Fault.java
+++ b/src/main/java/gorsemast/simulation/Fault.java
@@ -53,7 +53,7 @@
         RELOAD,
         /** A core machine is replaced by an empty one at another address. */
         REPLACE_CORE,
-        /** A core machine is replaced in order: an empty one comes, then the old one is asked to leave. */
+        /** A core machine is replaced gracefully: an empty one is added, then the old one is asked to leave. */
         REPLACE_CORE_PLANNED,
         /** The same, for the one that leads; and at once the one that leads then, if any, or the oldest loses its disk. */
         REPLACE_PRIMARY_THEN_WIPE,
--- a/src/main/java/gorsemast/simulation/FaultInjector.java
+++ b/src/main/java/gorsemast/simulation/FaultInjector.java
@@ -102,17 +102,17 @@
         long span = fault.span();
         switch (fault.kind()) {
             case CONFIG -> simulation.operator.configure(() -> {});
-            case CONFIG_RACE -> simulation.operator.race();
+            case CONFIG_RACE -> simulation.operator.raceUnderOneNumber();
             case SAME_NUMBER -> simulation.operator.sameNumber(n % 2 == 0 ? 0 : span / 10);
-            case CONFIG_THRICE -> simulation.operator.thrice();
-            case CONFIG_MANY -> simulation.operator.many();
-            case CONFIG_STREAM -> stream(simulation.time.now() + span);
-            case CONFIG_AGAIN -> simulation.operator.again(n);
-            case BAD_CONFIG -> simulation.operator.bad(n);
+            case CONFIG_THRICE -> simulation.operator.sendToThreeMachines();
+            case CONFIG_MANY -> simulation.operator.startManyChanges();
+            case CONFIG_STREAM -> streamChanges(simulation.time.now() + span);
+            case CONFIG_AGAIN -> simulation.operator.resend(n);
+            case BAD_CONFIG -> simulation.operator.sendImproper(n);
             case READ -> simulation.operator.readAll();
             case LOSE_ACKS -> loseAcks(span);
             case PURGE -> simulation.operator.purge(n, () -> {});
-            case PURGE_STORM -> storm(n, simulation.time.now() + span);
+            case PURGE_STORM -> streamPurges(n, simulation.time.now() + span);
             case DRAIN -> servers.drain(n, () -> {});
             case DRAIN_LONG -> servers.drainSlowly(n, span);
             case RELEASE -> servers.release(n);
@@ -160,7 +160,7 @@
             case POWER_AFTER_ACK, WIPE_AFTER_ACK, STALL, SLOW_DISK, FULL_DISK, HOLD_LINK, HOLD_NEWS, ROLL_CORES -> {
                 // measured where they are injected, or no primary is lost
             }
-            default -> primaryLost(fault.kind().toString(), struck);
+            default -> watchTakeover(fault.kind().toString(), struck);
         }
         NetworkLinks.Cut how = NetworkLinks.Cut.of(n);
         switch (fault.kind()) {
@@ -189,7 +189,7 @@
             case ZONE_CUT -> cuts.failZone(n, span, false);
             case REPLACE_CORE -> replacements.replaceLost(struck);
             case REPLACE_CORE_PLANNED -> replacements.replacePlanned(struck, () -> {});
-            case REPLACE_PRIMARY_THEN_WIPE -> replacements.replacePlanned(struck, this::wipeLeader);
+            case REPLACE_PRIMARY_THEN_WIPE -> replacements.replacePlanned(struck, this::wipePrimary);
             case ROLL_CORES -> replacements.roll(simulation.machines(true));
             case HOLD_NEWS -> cuts.blockRegistryUpdates(struck, span);
             case REPLACE_TWO -> {
@@ -203,14 +203,14 @@
     }
 
     /** Measures how long a take-over needs if the affected machine runs the primary. */
-    private void primaryLost(String kind, Machine machine) {
+    private void watchTakeover(String kind, Machine machine) {
         if (machine != null && simulation.primaryExcept(null) == machine) {
             simulation.watch(Outcome.TAKEN_OVER + kind, () -> simulation.primaryExcept(machine) != null);
         }
     }
 
     /** Skipped if all have lost power meanwhile: losing a disk too would exceed what may be lost at once. */
-    private void wipeLeader() {
+    private void wipePrimary() {
         boolean dark = simulation.machines(true).stream().noneMatch(one -> one.power);
         Machine leads = simulation.primaryExcept(null);
         if (!dark) {
@@ -218,17 +218,17 @@
         }
     }
 
-    private void storm(int n, long until) {
+    private void streamPurges(int n, long until) {
         if (simulation.time.now() < until) {
             simulation.operator.purge(n + simulation.random.nextInt(100), () -> {});
-            simulation.time.after(65_000, () -> storm(n, until));
+            simulation.time.after(65_000, () -> streamPurges(n, until));
         }
     }
 
-    private void stream(long until) {
+    private void streamChanges(long until) {
         if (simulation.time.now() < until) {
             simulation.operator.configure(() -> {});
-            simulation.time.after(40_000 + simulation.random.nextLong(120_000), () -> stream(until));
+            simulation.time.after(40_000 + simulation.random.nextLong(120_000), () -> streamChanges(until));
         }
     }
 
--- a/src/main/java/gorsemast/simulation/LinkFaults.java
+++ b/src/main/java/gorsemast/simulation/LinkFaults.java
@@ -112,7 +112,7 @@
                         .findFirst()
                         .ifPresent(one -> machines.restart(one, false, RESTART_MICROS));
             }
-            simulation.server("orders", 6).prefers(first);
+            simulation.server("orders", 6).setPreferred(first);
         });
         simulation.time.after(span / 2, () -> {
             simulation.operator.configure(() -> {});
--- a/src/main/java/gorsemast/simulation/Operator.java
+++ b/src/main/java/gorsemast/simulation/Operator.java
@@ -28,11 +28,11 @@
     private static final int TRIES_OF_4XX = 3;
 
     /** The text of a change; {@code number} is 0 unless it is a configuration. */
-    private record Text(String name, String path, String body, long number) {}
+    private record ChangeText(String name, String path, String body, long number) {}
 
     /** One operator's change, until it has a clear answer or is abandoned. */
-    private final class Order {
-        private final Text text;
+    private final class PendingChange {
+        private final ChangeText text;
         private final long until;
         private final Runnable acknowledged;
         private long begun;
@@ -41,7 +41,7 @@
         private int refusals;
         private boolean over;
 
-        Order(Text text, int at, long within, Runnable acknowledged) {
+        PendingChange(ChangeText text, int at, long within, Runnable acknowledged) {
             this.text = text;
             this.at = at;
             this.until = within;
@@ -50,10 +50,10 @@
 
         private void begin() {
             begun = simulation.time.now();
-            underWay++;
+            inProgress++;
             simulation.logEvent("operator sends " + text.name);
             send();
-            look();
+            checkDeadline();
         }
 
         private void send() {
@@ -107,15 +107,15 @@
 
         private void end() {
             over = true;
-            underWay--;
-            Order next = waiting.poll();
+            inProgress--;
+            PendingChange next = waiting.poll();
             if (next != null) {
                 next.begin();
             }
         }
 
         /** Checks that the change is answered in time while the core is settled. */
-        private void look() {
+        private void checkDeadline() {
             long most = ACK_MICROS + ROUTE_MICROS * (ROUTES + simulation.extraRoutes);
             if (Math.min(simulation.connectivity.calmFor(), simulation.time.now() - begun) > most) {
                 if (!over) {
@@ -124,15 +124,15 @@
                 }
             }
             if (!over) {
-                simulation.time.after(CHECK_INTERVAL_MICROS, this::look);
+                simulation.time.after(CHECK_INTERVAL_MICROS, this::checkDeadline);
             }
         }
     }
 
     private final Simulation simulation;
-    private final List<Text> acknowledged = new ArrayList<>();
-    private final Deque<Order> waiting = new ArrayDeque<>();
-    private int underWay;
+    private final List<ChangeText> acknowledged = new ArrayList<>();
+    private final Deque<PendingChange> waiting = new ArrayDeque<>();
+    private int inProgress;
     private long version;
     private int contents;
 
@@ -171,35 +171,35 @@
                 + "\"";
     }
 
-    private Text change(long number) {
+    private ChangeText change(long number) {
         int content = ++contents;
-        return new Text(
+        return new ChangeText(
                 "version " + number + ", content " + content,
                 "/v1/configuration/replace",
                 configuration(number, content),
                 number);
     }
 
-    private long next() {
+    private long nextVersion() {
         version += 1 + simulation.random.nextInt(3);
         return version;
     }
 
-    private int somewhere() {
+    private int randomMachineIndex() {
         return simulation.random.nextInt(1_000);
     }
 
-    private void order(Text text, int at, long within, Runnable then) {
-        Order order = new Order(text, at, within, then);
-        if (underWay < MOST) {
+    private void submit(ChangeText text, int at, long within, Runnable then) {
+        PendingChange order = new PendingChange(text, at, within, then);
+        if (inProgress < MOST) {
             order.begin();
         } else {
             waiting.add(order);
         }
     }
 
-    private void change(Text text, int at, Runnable then) {
-        order(text, at, Long.MAX_VALUE, () -> {
+    private void change(ChangeText text, int at, Runnable then) {
+        submit(text, at, Long.MAX_VALUE, () -> {
             simulation.configurationChecker.acknowledged(text.number, text.body);
             acknowledged.add(text);
             then.run();
@@ -208,73 +208,74 @@
 
     /** A change under the next version. */
     void configure(Runnable then) {
-        change(change(next()), somewhere(), then);
+        change(change(nextVersion()), randomMachineIndex(), then);
     }
 
     /** Two operators send different contents under one number at once; what was acknowledged is resent. */
-    void race() {
-        long number = next();
+    void raceUnderOneNumber() {
+        long number = nextVersion();
         for (int i = 0; i < 2; i++) {
-            Text text = change(number);
+            ChangeText text = change(number);
             change(
                     text,
-                    somewhere(),
+                    randomMachineIndex(),
                     () -> simulation.time.after(
-                            simulation.random.nextLong(ACK_MICROS), () -> change(text, somewhere(), () -> {})));
+                            simulation.random.nextLong(ACK_MICROS),
+                            () -> change(text, randomMachineIndex(), () -> {})));
         }
     }
 
     /** Two operators send two contents under one number, to two machines, the second one some time after the first. */
     void sameNumber(long after) {
-        long number = next();
-        int at = somewhere();
+        long number = nextVersion();
+        int at = randomMachineIndex();
         change(change(number), at, () -> {});
         simulation.time.after(after, () -> change(change(number), at + 1, () -> {}));
     }
 
     /** One change is sent to three machines at once. */
-    void thrice() {
-        Text text = change(next());
-        int at = somewhere();
+    void sendToThreeMachines() {
+        ChangeText text = change(nextVersion());
+        int at = randomMachineIndex();
         for (int i = 0; i < 3; i++) {
             change(text, at + i, () -> {});
         }
     }
 
     /** Starts eight changes at once. */
-    void many() {
+    void startManyChanges() {
         for (int i = 0; i < MOST; i++) {
             configure(() -> {});
         }
     }
 
     /** A change that was acknowledged is sent again, unchanged: the newest one, or an older one. */
-    void again(int pick) {
+    void resend(int pick) {
         if (!acknowledged.isEmpty()) {
             int back = pick % 2 == 0 ? 1 : 1 + pick / 2 % acknowledged.size();
-            change(acknowledged.get(acknowledged.size() - back), somewhere(), () -> {});
+            change(acknowledged.get(acknowledged.size() - back), randomMachineIndex(), () -> {});
         }
     }
 
     /** Sends an improper change: invalid, with the current or an older version, or an earlier one again. */
-    void bad(int pick) {
+    void sendImproper(int pick) {
         switch (pick % 8) {
             case 5 -> {
                 if (simulation.configurationChecker.newest() > 0) {
-                    change(change(simulation.configurationChecker.newest()), somewhere(), () -> {});
+                    change(change(simulation.configurationChecker.newest()), randomMachineIndex(), () -> {});
                 }
             }
             case 6 -> {
                 if (simulation.configurationChecker.newest() > 1) {
-                    change(change(simulation.configurationChecker.newest() - 1), somewhere(), () -> {});
+                    change(change(simulation.configurationChecker.newest() - 1), randomMachineIndex(), () -> {});
                 }
             }
-            case 7 -> again(pick / 8 * 2 + 1);
-            default -> invalid(pick % 8);
+            case 7 -> resend(pick / 8 * 2 + 1);
+            default -> sendInvalid(pick % 8);
         }
     }
 
-    private void invalid(int which) {
+    private void sendInvalid(int which) {
         String good = configuration(version + 100, ++contents);
         String[] broken = {
             good.substring(0, good.length() / 2),
@@ -306,9 +307,9 @@
         long sentAt = simulation.time.now();
         String body =
                 tag ? "{\"tag\":\"all\"}" : "{\"hostname\":\"" + Simulation.HOST + "\",\"path\":\"" + path + "\"}";
-        order(
-                new Text("purge of " + (tag ? "all" : path), "/v1/purge", body, 0),
-                somewhere(),
+        submit(
+                new ChangeText("purge of " + (tag ? "all" : path), "/v1/purge", body, 0),
+                randomMachineIndex(),
                 ACK_MICROS + ROUTE_MICROS * (ROUTES + simulation.extraRoutes) + CHECK_INTERVAL_MICROS,
                 () -> {
                     simulation.requestChecker.purged(tag ? null : path, sentAt);
@@ -349,18 +350,18 @@
     void readBack() {
         long until = simulation.time.now() + 2 * Simulation.CONNECTED_AFTER_MICROS;
         int[] got = new int[1];
-        readOn(0, until, got);
+        readRepeatedly(0, until, got);
         simulation.time.run(until + CALL_MICROS);
         if (got[0] == 0 && simulation.connectivity.settledFor() >= Simulation.CONNECTED_AFTER_MICROS) {
             throw new Violation("CONFIG", "no configuration could be read");
         }
     }
 
-    private void readOn(int at, long until, int[] got) {
+    private void readRepeatedly(int at, long until, int[] got) {
         if (simulation.time.now() < until) {
             List<Machine> cores = simulation.known();
             read(cores.get(at % cores.size()), got);
-            simulation.time.after(300_000, () -> readOn(at + 1, until, got));
+            simulation.time.after(300_000, () -> readRepeatedly(at + 1, until, got));
         }
     }
 }
--- a/src/main/java/gorsemast/simulation/Process.java
+++ b/src/main/java/gorsemast/simulation/Process.java
@@ -36,11 +36,11 @@
     /** One side of a link. */
     private final class End implements Neighbour {
         private final Process other;
-        private End far;
-        private final List<byte[]> way = new ArrayList<>();
+        private End remoteEnd;
+        private final List<byte[]> inTransit = new ArrayList<>();
         private PeerMessage.Hello peer;
         private Target dialled;
-        private long heard = now();
+        private long lastReceived = now();
         private long lastArrival;
         private boolean open = true;
 
@@ -61,12 +61,12 @@
             if (simulation.defect == InjectedDefect.ACKS_ALONE
                     && record instanceof PeerMessage.Updates updates
                     && updates.commandId() != 0) {
-                after(0, () -> heardFrom(this, new PeerMessage.Persisted(updates.commandId(), 0)));
+                after(0, () -> recordReceived(this, new PeerMessage.Persisted(updates.commandId(), 0)));
                 return;
             }
             byte[] bytes = Codec.bytes(applyDefect(record), now());
             simulation.traffic.count(program, other.program, bytes.length);
-            way.add(bytes);
+            inTransit.add(bytes);
             long at = Math.max(lastArrival, simulation.time.now() + simulation.links.delay(machine, other.machine));
             lastArrival = at;
             simulation.time.after(at - simulation.time.now(), this::arrive);
@@ -74,32 +74,32 @@
 
         /** Delivers the next record; behind a cut it waits, and so do all later ones. */
         private void arrive() {
-            if (way.isEmpty() || !far.open) {
-                way.clear();
+            if (inTransit.isEmpty() || !remoteEnd.open) {
+                inTransit.clear();
                 return;
             }
             if (simulation.links.isBlocked(program, machine, other.machine) || !other.machine.power) {
                 simulation.time.after(simulation.links.retryDelay(), this::arrive);
                 return;
             }
-            byte[] bytes = way.remove(0);
-            other.run(() -> far.received(bytes));
+            byte[] bytes = inTransit.remove(0);
+            other.run(() -> remoteEnd.received(bytes));
         }
 
         private void received(byte[] bytes) {
             if (!open) {
                 return;
             }
-            heard = now();
-            PeerMessage record = Codec.record(bytes, heard);
+            lastReceived = now();
+            PeerMessage record = Codec.record(bytes, lastReceived);
             if (record instanceof PeerMessage.Hello hello) {
                 if (peer == null) {
                     peer = hello;
                     ends.add(this);
-                    linked(this);
+                    linkUp(this);
                 }
             } else if (peer != null && !(record instanceof PeerMessage.Ping)) {
-                heardFrom(this, record);
+                recordReceived(this, record);
             }
         }
 
@@ -112,7 +112,7 @@
             if (!open) {
                 return;
             }
-            if (now() - heard > SILENT_MICROS) {
+            if (now() - lastReceived > SILENT_MICROS) {
                 close(true);
             } else {
                 send(new PeerMessage.Ping());
@@ -127,17 +127,17 @@
             }
             open = false;
             if (!tells && simulation.links.isCut(machine, other.machine)) {
-                way.clear(); // records held back by a cut are lost when their sender loses power
+                inTransit.clear(); // records held back by a cut are lost when their sender loses power
             }
             if (tells && !simulation.links.isCut(machine, other.machine)) {
                 simulation.time.after(
-                        simulation.links.delay(machine, other.machine), () -> other.run(() -> far.close(false)));
+                        simulation.links.delay(machine, other.machine), () -> other.run(() -> remoteEnd.close(false)));
             }
             if (ends.remove(this) && alive) {
-                unlinked(this);
+                linkDown(this);
             }
             if (dialled != null && alive) {
-                failed(dialled, this);
+                scheduleRedial(dialled, this);
             }
         }
     }
@@ -171,11 +171,11 @@
 
     abstract PeerMessage.Hello ownHello();
 
-    abstract void linked(Neighbour one);
+    abstract void linkUp(Neighbour one);
 
-    abstract void unlinked(Neighbour one);
+    abstract void linkDown(Neighbour one);
 
-    abstract void heardFrom(Neighbour one, PeerMessage record);
+    abstract void recordReceived(Neighbour one, PeerMessage record);
 
     /** Asks the process to leave gracefully; by default it ends at once. */
     void leave() {
@@ -212,10 +212,10 @@
     }
 
     /** Runs a task each period from now on. */
-    void each(long period, Runnable task) {
+    void runPeriodically(long period, Runnable task) {
         run(() -> {
             task.run();
-            after(period, () -> each(period, task));
+            after(period, () -> runPeriodically(period, task));
         });
     }
 
@@ -227,7 +227,7 @@
                 all.stream()
                         .filter(end -> simulation.links.isDelayed(machine, end.other.machine)
                                 || simulation.links.isCut(machine, end.other.machine))
-                        .forEach(end -> end.way.clear());
+                        .forEach(end -> end.inTransit.clear());
             }
             List.copyOf(all).forEach(end -> end.close(!power));
             alive = false;
@@ -248,7 +248,7 @@
     }
 
     /** Maintains links to these targets from now on and closes those dialled to others. */
-    void keep(Set<Target> targets) {
+    void maintainLinks(Set<Target> targets) {
         wanted = Set.copyOf(targets);
         again.keySet().retainAll(wanted);
         for (Map.Entry<Target, Object> entry : List.copyOf(dialled.entrySet())) {
@@ -282,13 +282,13 @@
             }
             Process other = silent ? null : simulation.process(target.program(), to);
             if (other == null) {
-                failed(target, attempt);
+                scheduleRedial(target, attempt);
                 return;
             }
             End mine = new End(other);
             End theirs = other.accept(this);
-            mine.far = theirs;
-            theirs.far = mine;
+            mine.remoteEnd = theirs;
+            theirs.remoteEnd = mine;
             mine.dialled = target;
             dialled.put(target, mine);
             all.add(mine);
@@ -304,7 +304,7 @@
         return end;
     }
 
-    private void failed(Target target, Object attempt) {
+    private void scheduleRedial(Target target, Object attempt) {
         if (dialled.get(target) != attempt) {
             return;
         }
--- a/src/main/java/gorsemast/simulation/ProcessorTime.java
+++ b/src/main/java/gorsemast/simulation/ProcessorTime.java
@@ -6,7 +6,7 @@
 
 /**
  * Processor time of the thread that runs a scenario, by the program whose events it ran: the decisions and the records'
- * encoding, without sockets, disks and HTTP. One thread.
+ * encoding, without sockets, disks and HTTP. Single-threaded.
  */
 final class ProcessorTime {
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
--- a/src/main/java/gorsemast/simulation/RequestChecker.java
+++ b/src/main/java/gorsemast/simulation/RequestChecker.java
@@ -148,7 +148,7 @@
 
     /** A client receives its answer. */
     void answered(Edge edge, String attempt, String path, boolean unsafe, long sentAt, Edge.Answer answer) {
-        switch (answer.told()) {
+        switch (answer.result()) {
             case REFUSED -> {
                 if (unsafe) {
                     refused.add(attempt);
--- a/src/main/java/gorsemast/simulation/Servers.java
+++ b/src/main/java/gorsemast/simulation/Servers.java
@@ -22,10 +22,10 @@
      * A server's answer.
      *
      * @param version the object's version
-     * @param told the attempt id that it carries; null for none
+     * @param attemptId the attempt id that it carries; null for none
      * @param request the request that it really answers, known only to the checker
      */
-    record Reply(Answer answer, long version, String told, Request request) {
+    record Reply(Answer answer, long version, String attemptId, Request request) {
         Reply(Answer answer, long version, Request request) {
             this(answer, version, request.attempt, request);
         }
@@ -88,25 +88,26 @@
             this.slots = slots;
             byAddress.put(address, this);
             all.add(this);
-            simulation.time.after(simulation.random.nextLong(Simulation.BEAT_MICROS / 4), this::beat);
+            simulation.time.after(simulation.random.nextLong(Simulation.HEARTBEAT_MICROS / 4), this::sendHeartbeat);
         }
 
         /** Makes it call this core machine first. */
-        void prefers(Machine machine) {
+        void setPreferred(Machine machine) {
             first = machine;
         }
 
-        private void beat() {
+        private void sendHeartbeat() {
             if (!alive) {
                 return;
             }
             if (!draining || !quiet) {
-                tell("heartbeat", acknowledged -> {});
+                report("heartbeat", acknowledged -> {});
             }
-            simulation.time.after(Simulation.BEAT_MICROS - 100_000 + simulation.random.nextLong(200_000), this::beat);
+            simulation.time.after(
+                    Simulation.HEARTBEAT_MICROS - 100_000 + simulation.random.nextLong(200_000), this::sendHeartbeat);
         }
 
-        private void tell(String what, Consumer<Boolean> then) {
+        private void report(String what, Consumer<Boolean> then) {
             String body = "{\"backend\":\"" + service + "\",\"address\":\"" + address + "\",\"zone\":\"" + zone
                     + "\",\"configVersion\":\"v1\",\"capacity\":" + slots + ",\"state\":\""
                     + (draining ? "draining" : "ready")
@@ -153,14 +154,14 @@
             draining = true;
             long begun = simulation.time.now();
             boolean[] over = new boolean[1];
-            tell("heartbeat", acknowledged -> {
+            report("heartbeat", acknowledged -> {
                 over[0] = true;
                 if (acknowledged) {
                     told.run();
                 }
                 simulation.time.after(
                         Simulation.DRAIN_MICROS + lingers,
-                        () -> tell("deregister", ended -> simulation.time.after(300_000, this::crash)));
+                        () -> report("deregister", ended -> simulation.time.after(300_000, this::crash)));
             });
             simulation.time.after(Operator.ACK_MICROS, () -> {
                 if (!over[0]
@@ -182,20 +183,20 @@
             }
         }
 
-        private void take(Request request, Consumer<Reply> reply) {
+        private void accept(Request request, Consumer<Reply> reply) {
             simulation.requestChecker.arrived(this, request);
             if (!request.target.equals(id)) {
                 reply.accept(new Reply(Answer.MISDIRECTED, 0, request));
             } else if (busy >= slots && queue.size() >= QUEUE) {
-                say(new Reply(Answer.FULL, 0, request), reply);
+                deliverAnswer(new Reply(Answer.FULL, 0, request), reply);
             } else if (busy >= slots) {
-                queue.add(() -> work(request, reply));
+                queue.add(() -> execute(request, reply));
             } else {
-                work(request, reply);
+                execute(request, reply);
             }
         }
 
-        private void work(Request request, Consumer<Reply> reply) {
+        private void execute(Request request, Consumer<Reply> reply) {
             busy++;
             simulation.requestChecker.checkExecution(this, request);
             long version = simulation.objects.getOrDefault(request.path, 0L);
@@ -207,12 +208,12 @@
                 }
                 if (alive && simulation.random.nextDouble() >= loses) {
                     Answer answer = simulation.random.nextInt(300) == 0 ? Answer.ERROR : Answer.OK;
-                    say(new Reply(answer, version, request), reply);
+                    deliverAnswer(new Reply(answer, version, request), reply);
                 }
             });
         }
 
-        private void say(Reply answer, Consumer<Reply> reply) {
+        private void deliverAnswer(Reply answer, Consumer<Reply> reply) {
             if (confuses == 0 || simulation.random.nextDouble() >= confuses) {
                 reply.accept(answer);
                 return;
@@ -257,7 +258,7 @@
             if (server == null) {
                 simulation.time.after(way, refused);
             } else {
-                server.take(request, answer -> simulation.time.after(way, () -> reply.accept(answer)));
+                server.accept(request, answer -> simulation.time.after(way, () -> reply.accept(answer)));
             }
         });
     }
--- a/src/main/java/gorsemast/simulation/Simulation.java
+++ b/src/main/java/gorsemast/simulation/Simulation.java
@@ -25,7 +25,7 @@
 final class Simulation {
     static final String HOST = "h.example";
     static final String OBJECTS = "objects";
-    static final long BEAT_MICROS = 1_000_000;
+    static final long HEARTBEAT_MICROS = 1_000_000;
     static final long DRAIN_MICROS = 2_000_000;
     static final long WINDOW_MICROS = 5_000_000;
     static final long CONNECTED_AFTER_MICROS = 3_000_000;
