--- a/src/main/java/gorsemast/simulation/ProcessorTime.java
+++ b/src/main/java/gorsemast/simulation/ProcessorTime.java
@@ -5,8 +5,8 @@
 import java.lang.management.ThreadMXBean;
 
 /**
- * Processor time of the thread that plays a day, by the program whose events it ran: the decisions and the records'
- * encoding, without sockets, disks and HTTP. One thread.
+ * Processor time of the thread that runs a scenario, by the program whose events it ran: the decisions and the records'
+ * encoding, without sockets, disks and HTTP. Single-threaded.
  */
 final class ProcessorTime {
     private final ThreadMXBean threads = ManagementFactory.getThreadMXBean();
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Begins anew. */
+    /** Resets all times to zero. */
     void reset() {
         java.util.Arrays.fill(nanos, 0);
     }
