--- a/src/main/java/gorsemast/command/Check.java
+++ b/src/main/java/gorsemast/command/Check.java
@@ -66,11 +66,11 @@
         return Gorsemast.DONE;
     }
 
-    /** The store's decisions, over drawn courses and all rows of events. */
+    /** Model-checks the store's decisions over all event sequences and random scenarios. */
     @Command(
             name = "model",
-            description = "Plays the store's decisions: all rows of events up to a depth, and drawn courses. "
-                    + "Exits with 1 where what was acknowledged is lost, and prints how.")
+            description = "Checks the store's decisions over all event sequences up to a depth and random scenarios. "
+                    + "Exits with 1 if acknowledged data is lost, and prints how.")
     static final class Model implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -108,10 +108,10 @@
                 description = "One of ${COMPLETION-CANDIDATES}.")
         private Plant plant;
 
-        /** A course of changes takes as long as some ten others. */
-        private static final int COURSES_A_CHANGE = 10;
+        /** A scenario with membership changes takes about as long as ten others. */
+        private static final int SCENARIOS_PER_MEMBERSHIP_RUN = 10;
 
-        private static final int CHANGES = 6;
+        private static final int MEMBERSHIP_CHANGES = 6;
 
         @Override
         public Integer call() {
@@ -124,7 +124,13 @@
                     rows.broken() != null ? rows : StoreCheck.drawn(members, spares, seed, courses, events, plant);
             StoreCheck.Result changed = drawn.broken() != null
                     ? drawn
-                    : MembershipCheck.drawn(members, 1, seed, Math.max(1, courses / COURSES_A_CHANGE), CHANGES, plant);
+                    : MembershipCheck.drawn(
+                            members,
+                            1,
+                            seed,
+                            Math.max(1, courses / SCENARIOS_PER_MEMBERSHIP_RUN),
+                            MEMBERSHIP_CHANGES,
+                            plant);
             double seconds = (System.nanoTime() - begun) / 1e9;
             if (changed.broken() != null) {
                 changed.story().forEach(System.out::println);
@@ -139,7 +145,7 @@
                     drawn.courses(),
                     events,
                     changed.courses(),
-                    CHANGES,
+                    MEMBERSHIP_CHANGES,
                     rows.answered() + drawn.answered() + changed.answered(),
                     seconds);
             return Gorsemast.DONE;
--- a/src/main/java/gorsemast/command/CheckRegistry.java
+++ b/src/main/java/gorsemast/command/CheckRegistry.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Registries' leases and orders, over all rows of events and drawn courses. */
+/** Model-checks the registries' leases and commands over all event sequences and random scenarios. */
 @Command(
         name = "registry",
-        description = "Plays the registries' decisions: all rows of events up to a depth, and drawn courses. "
-                + "Exits with 1 where one vouches that lacks what was acknowledged, and prints how.")
+        description = "Checks the registries' decisions over all event sequences up to a depth and random scenarios. "
+                + "Exits with 1 if a registry confirms without knowing an acknowledged command, and prints how.")
 final class CheckRegistry implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
--- a/src/main/java/gorsemast/command/FleetCommand.java
+++ b/src/main/java/gorsemast/command/FleetCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** What one proxy believes of the fleet. */
+/** Prints the fleet view of one proxy. */
 @Command(
         name = "fleet",
         description =
--- a/src/main/java/gorsemast/command/HuntCommand.java
+++ b/src/main/java/gorsemast/command/HuntCommand.java
@@ -20,27 +20,32 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Draws days of a whole network in virtual time and looks for broken rules. */
+/** Searches random scenarios of a whole network in virtual time for violated rules. */
 @Command(
         name = "hunt",
-        description = "Plays drawn days of the whole network in virtual time: the decisions of all three programs, "
-                + "with machines, disks, links, servers, operators and clients round them. A broken day is cut down and printed as a "
-                + "test. Exits with 1 where a rule is broken.")
+        description =
+                "Runs random scenarios of the whole network in virtual time: the decisions of all three programs, "
+                        + "with simulated machines, disks, links, servers, operators and clients. A failing scenario is minimized and printed as a "
+                        + "test. Exits with 1 if a rule is violated.")
 final class HuntCommand implements Callable<Integer> {
-    private static final int SHORTEST = 24;
-    private static final int LONGEST = 3_600;
+    private static final int MIN_SECONDS = 24;
+    private static final int MAX_SECONDS = 3_600;
 
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--days", defaultValue = "100", paramLabel = "N", description = "Days to play (${DEFAULT-VALUE}).")
+    @Option(
+            names = "--days",
+            defaultValue = "100",
+            paramLabel = "N",
+            description = "Scenarios to run (${DEFAULT-VALUE}).")
     private int days;
 
     @Option(
             names = "--seed",
             defaultValue = "1",
             paramLabel = "N",
-            description = "Of the first day; the next has the next.")
+            description = "Seed of the first scenario; each further one has the next seed.")
     private long seed;
 
     @Option(
@@ -68,14 +73,15 @@
             names = "--most",
             defaultValue = "3",
             paramLabel = "N",
-            description = "Ends soon after so many broken days (${DEFAULT-VALUE}).")
+            description = "Stops soon after this many failing scenarios (${DEFAULT-VALUE}).")
     private int most;
 
     @Option(
             names = "--seconds",
             defaultValue = "0",
             paramLabel = "N",
-            description = "Long days of so many seconds, with hundreds of changes (${DEFAULT-VALUE}: usual days).")
+            description =
+                    "Long scenarios of this many seconds, with hundreds of changes (${DEFAULT-VALUE}: normal scenarios).")
     private int seconds;
 
     @Option(
@@ -85,16 +91,14 @@
             description = "Core machines that may be lost at once, less than half of them (${DEFAULT-VALUE}).")
     private int losses;
 
-    @Option(
-            names = "--pressed",
-            description = "Days on which orders come all the while and the core is struck again and again.")
+    @Option(names = "--pressed", description = "Scenarios with continuous commands and repeated faults of the core.")
     private boolean pressed;
 
     @Option(
             names = "--without",
             split = ",",
             paramLabel = "KIND",
-            description = "Kinds of trouble to leave out: ${COMPLETION-CANDIDATES}.")
+            description = "Kinds of faults to leave out: ${COMPLETION-CANDIDATES}.")
     private Set<Trouble.Kind> without = EnumSet.noneOf(Trouble.Kind.class);
 
     @Override
@@ -107,11 +111,11 @@
                 || most < 1
                 || losses < 1
                 || 2 * losses >= cores
-                || seconds != 0 && (seconds < SHORTEST || seconds > LONGEST)) {
+                || seconds != 0 && (seconds < MIN_SECONDS || seconds > MAX_SECONDS)) {
             throw Gorsemast.usage(
                     spec,
                     "--days, --most and --losses from 1, twice --losses below --cores, --cores from 3 to 9, --edges from 1 to 500, --seconds 0 or "
-                            + SHORTEST + " to " + LONGEST);
+                            + MIN_SECONDS + " to " + MAX_SECONDS);
         }
         NettyLog.install();
         IntFunction<Day> all = number -> (pressed
--- a/src/main/java/gorsemast/command/LabCommand.java
+++ b/src/main/java/gorsemast/command/LabCommand.java
@@ -2,8 +2,8 @@
 
 import gorsemast.emulator.Cluster;
 import gorsemast.emulator.ClusterSettings;
-import gorsemast.emulator.Day;
 import gorsemast.emulator.Growth;
+import gorsemast.emulator.Scenario;
 import gorsemast.lab.FleetStudy;
 import gorsemast.lab.PlanStudy;
 import gorsemast.peers.FleetCodec;
@@ -40,16 +40,17 @@
         List<FleetStudy.Row> rows = new FleetStudy(message -> codec.encode(message).length).rows(members);
         System.out.print(FleetStudy.table(rows));
         if (plot != null) {
-            FleetStudy.plot(rows).svg(plot);
+            FleetStudy.plot(rows).writeSvg(plot);
         }
         return Gorsemast.DONE;
     }
 
-    /** One day of a whole tier. */
+    /** Runs one scenario of a whole tier. */
     @Command(
             name = "day",
-            description = "Plays one day of a whole tier: proxies, nodes, a ledger, a register. Exits with 1 "
-                    + "where one of the four rules is broken.")
+            description =
+                    "Runs one scenario of a whole tier: proxies, nodes, an origin, a discovery service. Exits with 1 "
+                            + "if one of the four invariants is violated.")
     static final class DayCommand implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -59,7 +60,7 @@
                 defaultValue = "CALM",
                 paramLabel = "KIND",
                 description = "One of ${COMPLETION-CANDIDATES}.")
-        private Day kind;
+        private Scenario kind;
 
         @Option(names = "--proxies", defaultValue = "100", paramLabel = "N")
         private int proxies;
@@ -77,7 +78,9 @@
                 description = "Of the nodes' warm capacity.")
         private double load;
 
-        @Option(names = "--misses-hold", description = "A read that waits for the ledger keeps its node's hand.")
+        @Option(
+                names = "--misses-hold",
+                description = "A read that waits for the origin occupies a worker of its node.")
         private boolean missesHold;
 
         @Option(names = "--by-second", description = "Prints the sums of each second.")
@@ -85,19 +88,20 @@
 
         @Override
         public Integer call() {
-            ClusterSettings settings = sizes(spec, proxies, nodes, seed).load(load);
-            Cluster.Result result = new Cluster(missesHold ? settings.holdingMisses() : settings).play(kind);
+            ClusterSettings settings = parseSizes(spec, proxies, nodes, seed).withLoad(load);
+            Cluster.RunResult result =
+                    new Cluster(missesHold ? settings.withMissesHoldingWorkers() : settings).run(kind);
             if (bySecond) {
                 System.out.print(result.tally().table());
             }
-            result.referee().findings().forEach(System.out::println);
+            result.checker().findings().forEach(System.out::println);
             System.out.println(result.line());
-            return result.referee().holds() ? 0 : 1;
+            return result.checker().holds() ? 0 : 1;
         }
     }
 
-    /** How its sums grow. */
-    @Command(name = "growth", description = "Plays one day at several sizes and prints how each sum grows.")
+    /** Prints how the sums grow with the size. */
+    @Command(name = "growth", description = "Runs one scenario at several sizes and prints how each sum grows.")
     static final class GrowthCommand implements Runnable {
         @Spec
         private CommandSpec spec;
@@ -107,7 +111,7 @@
                 defaultValue = "CALM",
                 paramLabel = "KIND",
                 description = "One of ${COMPLETION-CANDIDATES}.")
-        private Day kind;
+        private Scenario kind;
 
         @Option(names = "--proxies", split = ",", defaultValue = "3,10,30,100", paramLabel = "N,N,…")
         private List<Integer> proxies;
@@ -128,7 +132,7 @@
         }
     }
 
-    /** The planner of works. */
+    /** Compares maintenance planners. */
     @Command(name = "plan", description = "Plans works for a whole fleet and prints how orders compare.")
     static final class PlanCommand implements Runnable {
         @Option(names = "--nodes", split = ",", defaultValue = "12,60,200", paramLabel = "N,N,…")
@@ -143,7 +147,7 @@
         }
     }
 
-    private static ClusterSettings sizes(CommandSpec spec, int proxies, int nodes, long seed) {
+    private static ClusterSettings parseSizes(CommandSpec spec, int proxies, int nodes, long seed) {
         try {
             return ClusterSettings.of(proxies, nodes, seed);
         } catch (IllegalArgumentException e) {
--- a/src/main/java/gorsemast/command/Logs.java
+++ b/src/main/java/gorsemast/command/Logs.java
@@ -16,7 +16,7 @@
     private Logs() {}
 
     /** Lets libraries say warnings and errors only, on standard error, where no settings tell how to log. */
-    static void quiet() {
+    static void installQuiet() {
         install(new GorsemastSettings.Log(false, "warn"));
     }
 
--- a/src/main/java/gorsemast/command/NetworkCommand.java
+++ b/src/main/java/gorsemast/command/NetworkCommand.java
@@ -19,7 +19,7 @@
         description = "Runs a whole network on loopback: three core machines, some edges, stand-in servers. "
                 + "Prints a line for curl; ends with Ctrl-C.")
 final class NetworkCommand implements Callable<Integer> {
-    private static final int MOST_EDGES = 20;
+    private static final int MAX_EDGES = 20;
 
     @Option(names = "--edges", defaultValue = "2", paramLabel = "N", description = "So many edges, 1 to 20.")
     private int edges;
@@ -39,12 +39,12 @@
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        if (edges < 1 || edges > MOST_EDGES) {
-            System.err.println("gorsemast: --edges wants 1 to " + MOST_EDGES);
+        if (edges < 1 || edges > MAX_EDGES) {
+            System.err.println("gorsemast: --edges wants 1 to " + MAX_EDGES);
             return Gorsemast.USAGE;
         }
         NettyLog.install();
-        Logs.quiet();
+        Logs.installQuiet();
         Path data = Files.createTempDirectory("gorsemast");
         LoopbackNetwork network = new LoopbackNetwork(net, port, data);
         network.start(edges);
--- a/src/main/java/gorsemast/command/ScaleCommand.java
+++ b/src/main/java/gorsemast/command/ScaleCommand.java
@@ -11,14 +11,14 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Prints what control costs each role at several sizes, and what one purge and one change add. */
+/** Prints the cost of control traffic for each role at several sizes, and what purges and configuration changes add. */
 @Command(
         name = "scale",
         description =
-                "Plays calm days of the whole network in virtual time at several sizes, and prints bytes, records "
-                        + "and processor time that control costs one process of each role a second.")
+                "Runs fault-free scenarios of the whole network in virtual time at several sizes, and prints bytes, records "
+                        + "and processor time per second that control traffic costs one process of each role.")
 final class ScaleCommand implements Callable<Integer> {
-    private static final int MOST_EDGES = 2_000;
+    private static final int MAX_EDGES = 2_000;
 
     @Spec
     private CommandSpec spec;
@@ -78,8 +78,8 @@
         System.out.println("edges cores servers conf-bytes | proxy: sent B/s, received B/s, records/s, cpu us/s"
                 + " | registry: sent B/s, received B/s, cpu us/s | store: sent B/s, cpu us/s | ready s");
         for (int count : edges) {
-            if (count < 1 || count > MOST_EDGES) {
-                throw Gorsemast.usage(spec, "--edges from 1 to " + MOST_EDGES);
+            if (count < 1 || count > MAX_EDGES) {
+                throw Gorsemast.usage(spec, "--edges from 1 to " + MAX_EDGES);
             }
             print(ScaleStudy.play(new Load(cores, count, servers, routes, purges, changes, seconds)));
         }
--- a/src/main/java/gorsemast/command/Serve.java
+++ b/src/main/java/gorsemast/command/Serve.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** One proxy as the platform's configuration tells it, with the parts that the settings turn on. */
+/** Runs one proxy from the platform's configuration, with the parts that the settings enable. */
 @Command(
         name = "serve",
         description = {
@@ -43,7 +43,8 @@
                 .addShutdownHook(new Thread(
                         () -> {
                             server.drain();
-                            Runtime.getRuntime().halt(Gorsemast.DONE); // else the signal would be the exit code
+                            Runtime.getRuntime()
+                                    .halt(Gorsemast.DONE); // otherwise the signal would determine the exit code
                         },
                         "drain"));
         new CountDownLatch(1).await(); // the loop's thread serves; a signal ends the process
--- a/src/main/java/gorsemast/emulator/Attempt.java
+++ b/src/main/java/gorsemast/emulator/Attempt.java
@@ -3,40 +3,40 @@
 import anisebend.Balancer.CacheStatus;
 import anisebend.Balancer.Code;
 import anisebend.Balancer.Server;
-import gorsemast.emulator.Workload.Ask;
+import gorsemast.emulator.Workload.ClientRequest;
 
-/** One attempt at one node: waits for a connection, is written, ends once. Follows {@code net.Upstream.Attempt}. */
+/** One attempt at one node: waits for a connection, is written, and completes once. Mirrors {@code net.Upstream.Attempt}. */
 final class Attempt {
-    /** Told once how it ended. */
-    interface Ending {
-        void ended(Code code, CacheStatus note);
+    /** Receives the outcome once. */
+    interface OutcomeListener {
+        void completed(Code code, CacheStatus cacheStatus);
     }
 
     final Server node;
-    final Ask ask;
+    final ClientRequest request;
     private final Connections connections;
-    private final Ending ending;
+    private final OutcomeListener listener;
     Connections.Connection connection;
-    /** Its last byte is on its way: from here on only an answer can say that it has not run. */
+    /** Set once the last byte has been sent: from then on only a response can show that the request was not executed. */
     boolean written;
 
     boolean ended;
-    CacheNode.Work work;
+    CacheNode.PendingRequest work;
 
-    Attempt(Server node, Ask ask, Connections connections, Ending ending) {
+    Attempt(Server node, ClientRequest request, Connections connections, OutcomeListener listener) {
         this.node = node;
-        this.ask = ask;
+        this.request = request;
         this.connections = connections;
-        this.ending = ending;
+        this.listener = listener;
     }
 
     void cancel() {
         end(written ? Code.CANCELLED : Code.NOT_SENT, CacheStatus.NONE);
     }
 
-    /** Half of its time is over, and others are let in there. */
-    void tire() {
-        if (connection == null && connections.open(node.id()) > 0) {
+    /** Called after half of the wait: gives up if the node has other open connections. */
+    void giveUpWaiting() {
+        if (connection == null && connections.openCount(node.id()) > 0) {
             end(Code.NOT_SENT, CacheStatus.NONE);
         }
     }
@@ -45,16 +45,18 @@
         end(
                 written
                         ? Code.TIMEOUT
-                        : connection == null && connections.open(node.id()) > 0 ? Code.NOT_SENT : Code.CONNECT_FAILED,
+                        : connection == null && connections.openCount(node.id()) > 0
+                                ? Code.NOT_SENT
+                                : Code.CONNECT_FAILED,
                 CacheStatus.NONE);
     }
 
-    void end(Code code, CacheStatus note) {
+    void end(Code code, CacheStatus cacheStatus) {
         if (ended) {
             return;
         }
         ended = true;
-        connections.over(this, code);
-        ending.ended(code, note);
+        connections.attemptEnded(this, code);
+        listener.completed(code, cacheStatus);
     }
 }
--- a/src/main/java/gorsemast/emulator/CacheNode.java
+++ b/src/main/java/gorsemast/emulator/CacheNode.java
@@ -10,62 +10,63 @@
 import java.util.function.Consumer;
 
 /**
- * One modelled cache node: hands, a short row before them, places for connections, copies that age, and what goes wrong.
+ * Models one cache node: workers with a bounded queue, connection slots, cached entries that expire, and faults.
  *
- * <p><b>Model.</b> A read of a key that is kept takes a hand; one that is not waits for the ledger first, together with
- * all others of that key, and at some installations keeps its hand meanwhile. A write goes to the ledger and drops every copy. What finds no place in the row is turned away
- * and has not run. A node that has just started does only a part of its work, growing with time, and one that is sent
- * more than {@value #FALL_MULTIPLE} times what it can do in a second while it is cold falls over: it refuses for
- * {@value #FALL_MICROS} microseconds and is cold again.
+ * <p>A read of a cached key occupies a worker. A miss first waits for the origin, together with all other reads of that
+ * key, and in some installations occupies its worker meanwhile. A write goes to the origin and invalidates every cached
+ * entry of its key. A request that finds the queue full is rejected without being executed. A node that has just
+ * started has only part of its capacity, which grows with time. A cold node that receives more than
+ * {@value #OVERLOAD_MULTIPLE} times its current capacity within a second crashes: it refuses connections for
+ * {@value #OVERLOAD_DOWN_MICROS} microseconds and is then cold again.
  *
- * <p>O(1) an event. One thread.
+ * <p>O(1) per event. Single-threaded.
  */
 final class CacheNode {
-    /** Process and network of a node, as a proxy meets it. */
+    /** State of a node and its network, as proxies observe it. */
     enum Condition {
         UP,
         REFUSING,
         SILENT
     }
 
-    /** What a node answers: in which way, and what it tells of the read. */
+    /** Receives the response of a node, with the cache status of a read. */
     interface Reply {
-        void served(CacheStatus note);
+        void served(CacheStatus cacheStatus);
 
         void error();
 
-        void turnedAway();
+        void rejected();
     }
 
-    /** One request at a node, while it is there. */
-    final class Work {
+    /** One request that a node has received. */
+    final class PendingRequest {
         final String key;
         final boolean write;
-        private final long took;
+        private final long serviceMicros;
         private final Reply reply;
-        private final Runnable ran;
-        private boolean over;
-        private CacheStatus note = CacheStatus.HIT;
+        private final Runnable onExecuted;
+        private boolean finished;
+        private CacheStatus cacheStatus = CacheStatus.HIT;
 
-        private Work(String key, boolean write, long took, Runnable ran, Reply reply) {
+        private PendingRequest(String key, boolean write, long serviceMicros, Runnable onExecuted, Reply reply) {
             this.key = key;
             this.write = write;
-            this.took = took;
-            this.ran = ran;
+            this.serviceMicros = serviceMicros;
+            this.onExecuted = onExecuted;
             this.reply = reply;
         }
 
-        /** Its connection has closed: nobody waits for it. What has not begun never runs. */
+        /** Called when its connection has closed. A request that has not begun is never executed. */
         void cancel() {
-            if (!over) {
-                over = true;
-                held--;
+            if (!finished) {
+                finished = true;
+                pendingCount--;
             }
         }
     }
 
-    static final int FALL_MULTIPLE = 3;
-    static final long FALL_MICROS = 3_000_000;
+    static final int OVERLOAD_MULTIPLE = 3;
+    static final long OVERLOAD_DOWN_MICROS = 3_000_000;
     private static final long SECOND = 1_000_000;
 
     final String id;
@@ -73,40 +74,40 @@
     final int cell;
     private final VirtualTime time;
     private final SplittableRandom random;
-    private final Ledger ledger;
+    private final Origin origin;
     private final Cluster cluster;
     private final ClusterSettings settings;
     final double speed;
-    private final ArrayDeque<Work> row = new ArrayDeque<>();
-    /** Each kept key, and until when its copy is good. */
-    private final Map<String, Long> copies = new HashMap<>();
+    private final ArrayDeque<PendingRequest> queue = new ArrayDeque<>();
+    /** When the cached entry of each key expires. */
+    private final Map<String, Long> expiryByKey = new HashMap<>();
 
-    private final Map<String, List<Work>> fetching = new HashMap<>();
+    private final Map<String, List<PendingRequest>> fetching = new HashMap<>();
     private final ArrayDeque<Long> arrivals = new ArrayDeque<>();
     private Condition condition = Condition.UP;
-    private int life;
-    private int busy;
-    private int held;
-    private int connections;
-    /** 0 for long ago. */
-    long born;
+    private int incarnation;
+    private int busyWorkers;
+    private int pendingCount;
+    private int openConnections;
+    /** 0 if it started before the simulation. */
+    long startedAt;
 
     boolean draining;
-    boolean gone;
+    boolean removed;
     private double errorShare;
-    private double slower = 1;
+    private double slowdown = 1;
     long handshakes;
     long requests;
 
-    CacheNode(String id, int zone, int cell, double speed, long born, Cluster cluster, SplittableRandom random) {
+    CacheNode(String id, int zone, int cell, double speed, long startedAt, Cluster cluster, SplittableRandom random) {
         this.id = id;
         this.zone = zone;
         this.cell = cell;
         this.speed = speed;
-        this.born = born;
+        this.startedAt = startedAt;
         this.cluster = cluster;
         this.time = cluster.time;
-        this.ledger = cluster.ledger;
+        this.origin = cluster.origin;
         this.settings = cluster.settings;
         this.random = random;
     }
@@ -115,215 +116,215 @@
         return condition;
     }
 
-    /** So often it answers with an error, and so many times as long its work takes, from now on. */
-    void spoil(double errors, double factor) {
-        errorShare = errors;
-        slower = factor;
+    /** From now on, this share of requests fails and service takes this many times as long. */
+    void degrade(double errorShare, double slowdown) {
+        this.errorShare = errorShare;
+        this.slowdown = slowdown;
     }
 
-    /** The process dies: connections are reset, new ones refused, copies lost. */
-    void die() {
+    /** Crashes the process: connections are reset, new ones are refused, and the cache is lost. */
+    void crash() {
         reset(Condition.REFUSING);
     }
 
-    /** Its machine says nothing more. */
-    void silence() {
+    /** Makes its machine silent. */
+    void becomeUnreachable() {
         condition = Condition.SILENT;
     }
 
-    /** It speaks again, as it was. */
-    void speak() {
+    /** Makes its machine reachable again with its state intact. */
+    void becomeReachable() {
         condition = Condition.UP;
     }
 
-    /** A new process with no copies. */
+    /** Starts a new process with an empty cache. */
     void restart() {
         reset(Condition.UP);
-        born = time.now();
+        startedAt = time.now();
     }
 
     private void reset(Condition next) {
-        life++;
+        incarnation++;
         condition = next;
-        row.clear();
-        copies.clear();
+        queue.clear();
+        expiryByKey.clear();
         fetching.clear();
         arrivals.clear();
-        busy = 0;
-        held = 0;
-        connections = 0;
-        cluster.reset(this);
+        busyWorkers = 0;
+        pendingCount = 0;
+        openConnections = 0;
+        cluster.resetConnections(this);
     }
 
-    /** Whether another connection has a place; it is taken, and {@link #closed} gives it back. */
-    boolean accept() {
-        if (connections >= settings.nodeConnections()) {
+    /** Takes a connection slot if one is free; {@link #connectionClosed} releases it. */
+    boolean acceptConnection() {
+        if (openConnections >= settings.nodeConnections()) {
             return false;
         }
-        connections++;
+        openConnections++;
         handshakes++;
         return true;
     }
 
-    void closed(int ofLife) {
-        if (ofLife == life) {
-            connections--;
+    void connectionClosed(int ofIncarnation) {
+        if (ofIncarnation == incarnation) {
+            openConnections--;
         }
     }
 
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
-    /** The part of its work that it can do. */
-    double warmth() {
-        long age = time.now() - born;
-        if (born == 0 || age >= settings.coldMicros()) {
+    /** Share of its full capacity that it has now. */
+    double warmUpShare() {
+        long age = time.now() - startedAt;
+        if (startedAt == 0 || age >= settings.coldMicros()) {
             return 1;
         }
         return settings.coldShare() + (1 - settings.coldShare()) * age / settings.coldMicros();
     }
 
     /**
-     * A request whose last byte has come.
+     * Handles a request that has arrived completely.
      *
-     * @param took what it takes a hand of usual speed
-     * @param ran told when it takes effect
+     * @param serviceMicros service time at a worker of normal speed
+     * @param onExecuted called when the request takes effect
      */
-    Work request(String key, boolean write, long took, Runnable ran, Reply reply) {
+    PendingRequest request(String key, boolean write, long serviceMicros, Runnable onExecuted, Reply reply) {
         requests++;
-        Work work = new Work(key, write, took, ran, reply);
-        if (overrun()) {
+        PendingRequest work = new PendingRequest(key, write, serviceMicros, onExecuted, reply);
+        if (crashIfOverloaded()) {
             return work;
         }
-        if (draining || held >= settings.nodeHands() + settings.nodeRow()) {
-            work.over = true;
-            reply.turnedAway();
+        if (draining || pendingCount >= settings.nodeWorkers() + settings.nodeQueue()) {
+            work.finished = true;
+            reply.rejected();
             return work;
         }
-        held++;
+        pendingCount++;
         if (random.nextDouble() < errorShare) {
-            time.after(took / 4, () -> end(work, life, () -> reply.error()));
+            time.after(serviceMicros / 4, () -> finish(work, incarnation, () -> reply.error()));
             return work;
         }
         if (write) {
-            int mine = life;
-            ledger.write(() -> {
-                if (!work.over && mine == life) {
-                    ran.run(); // at the ledger, whoever waits for the answer
-                    cluster.drop(key);
-                    work.note = CacheStatus.NONE;
-                    queue(work);
+            int mine = incarnation;
+            origin.write(() -> {
+                if (!work.finished && mine == incarnation) {
+                    onExecuted.run(); // takes effect at the origin even if nobody waits for the response
+                    cluster.invalidateEverywhere(key);
+                    work.cacheStatus = CacheStatus.NONE;
+                    enqueue(work);
                 }
             });
-        } else if (settings.missHolds() || kept(key)) {
-            queue(work);
+        } else if (settings.missHoldsWorker() || isCached(key)) {
+            enqueue(work);
         } else {
-            fetch(work, this::queue);
+            fetch(work, this::enqueue);
         }
         return work;
     }
 
-    private boolean kept(String key) {
-        return copies.getOrDefault(key, 0L) > time.now();
+    private boolean isCached(String key) {
+        return expiryByKey.getOrDefault(key, 0L) > time.now();
     }
 
-    private boolean overrun() {
-        if (warmth() == 1) {
+    private boolean crashIfOverloaded() {
+        if (warmUpShare() == 1) {
             return false;
         }
         arrivals.add(time.now());
         while (arrivals.peek() < time.now() - SECOND) {
             arrivals.poll();
         }
-        if (arrivals.size() <= FALL_MULTIPLE * Math.max(1, capacity() * warmth())) {
+        if (arrivals.size() <= OVERLOAD_MULTIPLE * Math.max(1, requestsPerSecond() * warmUpShare())) {
             return false;
         }
-        cluster.referee.fell(time.now(), id);
-        die();
-        int mine = life;
-        time.after(FALL_MICROS, () -> {
-            if (mine == life && !gone) {
+        cluster.checker.overloadedWhileCold(time.now(), id);
+        crash();
+        int mine = incarnation;
+        time.after(OVERLOAD_DOWN_MICROS, () -> {
+            if (mine == incarnation && !removed) {
                 restart();
             }
         });
         return true;
     }
 
-    /** Requests a second that it can do when it is warm. */
-    double capacity() {
-        return settings.nodeHands() * speed * SECOND / settings.workMicros();
+    /** Its capacity in requests per second when warm. */
+    double requestsPerSecond() {
+        return settings.nodeWorkers() * speed * SECOND / settings.workMicros();
     }
 
-    /** Has the key fetched, or waits with whoever does; {@code then} goes on with each of them. */
-    private void fetch(Work work, Consumer<Work> then) {
-        List<Work> waiting = fetching.get(work.key);
-        work.note = waiting == null ? CacheStatus.MISS : CacheStatus.MISS_FETCHING;
+    /** Fetches the key, or joins a fetch in progress; {@code then} receives each waiting request. */
+    private void fetch(PendingRequest work, Consumer<PendingRequest> then) {
+        List<PendingRequest> waiting = fetching.get(work.key);
+        work.cacheStatus = waiting == null ? CacheStatus.MISS : CacheStatus.MISS_FETCHING;
         if (waiting != null) {
             waiting.add(work);
             return;
         }
         waiting = new ArrayList<>(List.of(work));
         fetching.put(work.key, waiting);
-        int mine = life;
-        ledger.fetch(work.key, () -> {
-            if (mine == life) {
-                copies.put(work.key, time.now() + settings.keepMicros());
+        int mine = incarnation;
+        origin.fetch(work.key, () -> {
+            if (mine == incarnation) {
+                expiryByKey.put(work.key, time.now() + settings.cacheTtlMicros());
                 fetching.remove(work.key).forEach(then);
             }
         });
     }
 
-    /** It keeps this, from before the day began. */
-    void keep(String key, long micros) {
-        copies.put(key, time.now() + micros);
+    /** Adds a cached entry from before the run. */
+    void preload(String key, long micros) {
+        expiryByKey.put(key, time.now() + micros);
     }
 
-    void drop(String key) {
-        copies.remove(key);
+    void invalidate(String key) {
+        expiryByKey.remove(key);
     }
 
-    private void queue(Work work) {
-        if (work.over) {
+    private void enqueue(PendingRequest work) {
+        if (work.finished) {
             return;
         }
-        row.add(work);
-        pump();
+        queue.add(work);
+        dispatchQueued();
     }
 
-    private void pump() {
-        while (busy < settings.nodeHands() && !row.isEmpty()) {
-            Work work = row.poll();
-            if (work.over) {
+    private void dispatchQueued() {
+        while (busyWorkers < settings.nodeWorkers() && !queue.isEmpty()) {
+            PendingRequest work = queue.poll();
+            if (work.finished) {
                 continue;
             }
-            busy++;
-            if (!work.write && settings.missHolds() && !kept(work.key)) {
-                fetch(work, this::carry); // its hand waits for the ledger with it
+            busyWorkers++;
+            if (!work.write && settings.missHoldsWorker() && !isCached(work.key)) {
+                fetch(work, this::execute); // the worker stays occupied while the origin responds
             } else {
-                carry(work);
+                execute(work);
             }
         }
     }
 
-    private void carry(Work work) {
-        int mine = life;
-        time.after((long) (work.took * slower / speed / warmth()), () -> {
-            if (mine == life) {
-                busy--;
-                end(work, mine, () -> work.reply.served(work.note));
-                pump();
+    private void execute(PendingRequest work) {
+        int mine = incarnation;
+        time.after((long) (work.serviceMicros * slowdown / speed / warmUpShare()), () -> {
+            if (mine == incarnation) {
+                busyWorkers--;
+                finish(work, mine, () -> work.reply.served(work.cacheStatus));
+                dispatchQueued();
             }
         });
         if (!work.write) {
-            work.ran.run();
+            work.onExecuted.run();
         }
     }
 
-    private void end(Work work, int ofLife, Runnable answer) {
-        if (!work.over && ofLife == life) {
-            work.over = true;
-            held--;
+    private void finish(PendingRequest work, int ofIncarnation, Runnable answer) {
+        if (!work.finished && ofIncarnation == incarnation) {
+            work.finished = true;
+            pendingCount--;
             answer.run();
         }
     }
--- a/src/main/java/gorsemast/emulator/Cluster.java
+++ b/src/main/java/gorsemast/emulator/Cluster.java
@@ -10,211 +10,216 @@
 import java.util.SplittableRandom;
 
 /**
- * A whole tier in virtual time, and what can be done to it.
+ * Simulates a whole tier in virtual time and applies faults to it.
  *
- * <p>Deterministic from its settings and what is called: the same seed and {@link Day} give the same sums. One thread. A
- * second of 100 proxies and 200 nodes takes some tenths of a second of processor time.
+ * <p>Deterministic: the same settings, seed and {@link Scenario} give the same sums. Single-threaded. One second of 100
+ * proxies and 200 nodes takes some tenths of a second of processor time.
  */
 public final class Cluster {
     private static final long START = 1_000_000_000L;
     private static final long SECOND = 1_000_000;
     private static final double JITTER = 0.3;
-    /** A front sends the clients of a dead proxy elsewhere after so long. */
-    private static final long FRONT_NOTICES_MICROS = 1_900_000;
-    /** A node that is taken out finishes what it has for so long. */
+    /** Time until the front load balancer sends the clients of a dead proxy elsewhere. */
+    private static final long FAILOVER_MICROS = 1_900_000;
+    /** Time that a removed node has to finish its requests. */
     private static final long DRAIN_MICROS = 3_000_000;
-    /** The register lists a new node after so long. */
+    /** Time until the discovery service lists a new node. */
     private static final long LISTED_MICROS = 800_000;
-    /** How unlike nodes are: half the width of their speeds. */
-    private static final double SPEEDS = 0.15;
+    /** Half the width of the range of node speeds. */
+    private static final double SPEED_SPREAD = 0.15;
 
-    private static final int CELL = 6;
-    /** The ledger carries so much more than the misses and writes of the usual traffic. */
-    private static final double LEDGER_ROOM = 2;
+    private static final int CELL_SIZE = 6;
+    /** Origin capacity as a multiple of the misses and writes of normal traffic. */
+    private static final double ORIGIN_HEADROOM = 2;
 
-    private static final long LEDGER_MICROS = 60_000;
+    private static final long ORIGIN_MEAN_MICROS = 60_000;
 
     final ClusterSettings settings;
     final VirtualTime time = new VirtualTime(START);
     final Tally tally = new Tally(START);
-    final Referee referee = new Referee();
-    final Ledger ledger;
-    final Register register;
+    final InvariantChecker checker = new InvariantChecker();
+    final Origin origin;
+    final DiscoveryService discovery;
     final Workload workload;
     final List<SimulatedProxy> proxies = new ArrayList<>();
     private final SplittableRandom random;
     private final Map<String, CacheNode> nodes = new LinkedHashMap<>();
-    private final boolean[][] cut;
+    private final boolean[][] zonesCut;
     private final long[] deadSince;
-    private double answersLost;
-    private double breaks;
+    private double responseLoss;
+    private double connectionBreakShare;
     private int nodeNumber;
-    private long fetchesSeen;
+    private long fetchesCounted;
 
-    /** A tier with all processes up, and copies of any age at its nodes. */
+    /** Creates a tier with all processes up and cached entries of random age. */
     public Cluster(ClusterSettings settings) {
         this.settings = settings;
         this.random = new SplittableRandom(settings.seed());
-        double missed = settings.rate() * (1 - settings.hits() + ClusterSettings.SHARES[2] + ClusterSettings.SHARES[3]);
-        this.ledger = new Ledger(
-                time, random.split(), (int) Math.ceil(missed * LEDGER_ROOM * LEDGER_MICROS / 1e6), LEDGER_MICROS);
-        this.register = new Register(time, settings);
-        this.cut = new boolean[settings.zones()][settings.zones()];
+        double missed = settings.requestsPerSecond()
+                * (1 - settings.hitShare() + ClusterSettings.SHARES[2] + ClusterSettings.SHARES[3]);
+        this.origin = new Origin(
+                time,
+                random.split(),
+                (int) Math.ceil(missed * ORIGIN_HEADROOM * ORIGIN_MEAN_MICROS / 1e6),
+                ORIGIN_MEAN_MICROS);
+        this.discovery = new DiscoveryService(time, settings);
+        this.zonesCut = new boolean[settings.zones()][settings.zones()];
         this.deadSince = new long[settings.proxies()];
         for (int i = 0; i < settings.nodes(); i++) {
-            add(i % settings.zones(), 0);
+            addNode(i % settings.zones(), 0);
         }
         for (CacheNode node : nodes.values()) {
             for (int i = 0; i < settings.keys(); i++) {
-                node.keep("k" + i, random.nextLong(settings.keepMicros()));
+                node.preload("k" + i, random.nextLong(settings.cacheTtlMicros()));
             }
         }
         for (int i = 0; i < settings.proxies(); i++) {
             proxies.add(new SimulatedProxy(i, i % settings.zones(), this));
         }
         this.workload = new Workload(this, random.split());
-        proxies.forEach(proxy -> proxy.start(register.whole(), register.version()));
+        proxies.forEach(proxy -> proxy.start(discovery.fullList(), discovery.version()));
     }
 
-    // ---- what the parts ask
+    // ---- queries by the simulated parts
 
     CacheNode node(String id) {
         return nodes.get(id);
     }
 
     boolean reaches(int zone, CacheNode node) {
-        return node.condition() != CacheNode.Condition.SILENT && !cut[zone][node.zone];
+        return node.condition() != CacheNode.Condition.SILENT && !zonesCut[zone][node.zone];
     }
 
-    long oneWay(int zone, CacheNode node) {
-        return (long) ((zone == node.zone ? settings.nearMicros() : settings.crossMicros())
+    long oneWayMicros(int zone, CacheNode node) {
+        return (long) ((zone == node.zone ? settings.sameZoneMicros() : settings.crossZoneMicros())
                 * (1 + JITTER * random.nextDouble()));
     }
 
-    boolean losesAnswer() {
-        return answersLost > 0 && random.nextDouble() < answersLost;
+    boolean losesResponse() {
+        return responseLoss > 0 && random.nextDouble() < responseLoss;
     }
 
     boolean breaksConnection() {
-        return breaks > 0 && random.nextDouble() < breaks;
+        return connectionBreakShare > 0 && random.nextDouble() < connectionBreakShare;
     }
 
-    long seed(int proxy, int life) {
-        return settings.seed() * 1_000_003 + proxy * 997L + life;
+    long seed(int proxy, int incarnation) {
+        return settings.seed() * 1_000_003 + proxy * 997L + incarnation;
     }
 
-    /** Who has a client of that proxy now: itself, another once its death has been noticed, null until then. */
-    SimulatedProxy front(SimulatedProxy own) {
+    /** Returns the proxy that serves clients of {@code own}: itself, or another once its death has been noticed; null until
+     * then. */
+    SimulatedProxy routeClient(SimulatedProxy own) {
         if (own.serves()) {
             deadSince[own.number] = 0;
             return own;
         }
         long since = deadSince[own.number];
         deadSince[own.number] = since == 0 ? time.now() : since;
-        if (since == 0 || time.now() - since < FRONT_NOTICES_MICROS) {
+        if (since == 0 || time.now() - since < FAILOVER_MICROS) {
             return null;
         }
         SimulatedProxy other = proxies.get(random.nextInt(proxies.size()));
         return other.serves() ? other : null;
     }
 
-    void reset(CacheNode node) {
+    void resetConnections(CacheNode node) {
         proxies.forEach(proxy -> proxy.reset(node.id));
     }
 
-    void drop(String key) {
-        nodes.values().forEach(node -> node.drop(key));
+    void invalidateEverywhere(String key) {
+        nodes.values().forEach(node -> node.invalidate(key));
     }
 
-    // ---- what is done to it
+    // ---- changes and faults
 
-    private CacheNode add(int zone, long born) {
+    private CacheNode addNode(int zone, long startedAt) {
         CacheNode node = new CacheNode(
                 "n" + nodeNumber,
                 zone,
-                nodeNumber / CELL,
-                1 - SPEEDS + 2 * SPEEDS * random.nextDouble(),
-                born,
+                nodeNumber / CELL_SIZE,
+                1 - SPEED_SPREAD + 2 * SPEED_SPREAD * random.nextDouble(),
+                startedAt,
                 this,
                 random.split());
         nodeNumber++;
         nodes.put(node.id, node);
-        if (born == 0) {
-            list(node, State.READY);
+        if (startedAt == 0) {
+            publish(node, State.READY);
         } else {
-            time.after(LISTED_MICROS, () -> list(node, State.READY));
+            time.after(LISTED_MICROS, () -> publish(node, State.READY));
         }
         return node;
     }
 
-    private void list(CacheNode node, State state) {
-        register.change(new Server(node.id, node.zone, 0, node.cell, state, 1, node.born));
+    private void publish(CacheNode node, State state) {
+        discovery.change(new Server(node.id, node.zone, 0, node.cell, state, 1, node.startedAt));
     }
 
-    /** The nodes that are in service, the oldest first. */
+    /** Nodes in service, oldest first. */
     List<CacheNode> serving() {
         return nodes.values().stream()
-                .filter(node -> !node.gone && !node.draining)
+                .filter(node -> !node.removed && !node.draining)
                 .toList();
     }
 
-    /** Takes a node out in good order, and puts a new one in its place. */
+    /** Drains a node and adds a new one in its zone. */
     void replace(CacheNode node) {
-        list(node, State.DRAINING);
-        node.gone = true;
+        publish(node, State.DRAINING);
+        node.removed = true;
         time.after(DRAIN_MICROS / 2, () -> node.draining = true);
         time.after(DRAIN_MICROS, () -> {
-            node.die();
-            list(node, State.GONE);
+            node.crash();
+            publish(node, State.GONE);
         });
-        add(node.zone, time.now());
+        addNode(node.zone, time.now());
     }
 
-    /** Its process dies; the register notices later. */
+    /** Crashes a node; the discovery service notices later. */
     void crash(CacheNode node) {
-        node.die();
-        time.after(settings.noticeMicros(), () -> {
+        node.crash();
+        time.after(settings.failureDetectionMicros(), () -> {
             if (node.condition() == CacheNode.Condition.REFUSING) {
-                list(node, State.GONE);
+                publish(node, State.GONE);
             }
         });
     }
 
-    /** A node that was lost is there again, cold. */
-    void back(CacheNode node) {
+    /** Restarts a crashed node, which is then cold. */
+    void restore(CacheNode node) {
         node.restart();
-        time.after(LISTED_MICROS, () -> list(node, State.READY));
+        time.after(LISTED_MICROS, () -> publish(node, State.READY));
     }
 
-    /** Whether zones can't reach each other, both ways. */
-    void cut(int one, int other, boolean is) {
-        cut[one][other] = is;
-        cut[other][one] = is;
+    /** Cuts or restores the network between two zones, in both directions. */
+    void partition(int one, int other, boolean partitioned) {
+        zonesCut[one][other] = partitioned;
+        zonesCut[other][one] = partitioned;
     }
 
-    /** Of all answers so many are lost, and so many connections break under a request. */
-    void disturb(double lost, double broken) {
-        answersLost = lost;
-        breaks = broken;
+    /** Sets the share of responses that are lost and of requests whose connection breaks. */
+    void degradeNetwork(double lostShare, double brokenShare) {
+        responseLoss = lostShare;
+        connectionBreakShare = brokenShare;
     }
 
     SplittableRandom random() {
         return random;
     }
 
-    // ---- play
+    // ---- run
 
     /**
-     * What a day came to.
+     * Result of a run.
      *
-     * @param back seconds after the faults until service is back and stays so; negative for never
-     * @param before share of the worth asked for that was served before the faults; {@code during} and {@code after} alike
-     * @param mostFetched how often the key that was fetched most was fetched
+     * @param recoverySeconds seconds from the end of the faults until service has recovered for good; negative for never
+     * @param before share of the requested value that was served before the faults; likewise {@code during} and {@code after}
+     * @param mostFetched number of origin fetches of the key fetched most often
      */
-    public record Result(
+    public record RunResult(
             Tally tally,
-            Referee referee,
-            int back,
+            InvariantChecker checker,
+            int recoverySeconds,
             double before,
             double during,
             double after,
@@ -225,7 +230,7 @@
             int keysFetched,
             long handshakes,
             long listCalls) {
-        /** One line for people. */
+        /** Returns a one-line summary. */
         public String line() {
             return String.format(
                     java.util.Locale.ROOT,
@@ -234,11 +239,11 @@
                     before,
                     during,
                     after,
-                    back < 0 ? "never" : back + " s",
-                    referee.lost(),
-                    referee.twice(),
-                    referee.drains(),
-                    referee.fallen(),
+                    recoverySeconds < 0 ? "never" : recoverySeconds + " s",
+                    checker.lost(),
+                    checker.twice(),
+                    checker.drains(),
+                    checker.fallen(),
                     (double) attempts / asked,
                     (double) fetches / asked,
                     (double) handshakes / asked,
@@ -246,49 +251,49 @@
         }
     }
 
-    /** Plays a day to its end. May be asked once. */
-    public Result play(Day day) {
+    /** Runs a scenario to its end. May be called once. */
+    public RunResult run(Scenario scenario) {
         workload.begin();
-        day.plan(this);
-        time.after(0, this::look);
-        time.run(START + Day.SECONDS * SECOND);
+        scenario.schedule(this);
+        time.after(0, this::sampleEverySecond);
+        time.run(START + Scenario.SECONDS * SECOND);
         workload.end();
-        time.run(START + (Day.SECONDS + 7) * SECOND); // all that was asked has its answer
-        double before = tally.share(Day.WARM, Day.FAULT);
-        int back = -1;
-        for (int second = Day.SECONDS - 1;
-                second >= Day.OVER && tally.rows().get(second).share() >= Day.BACK * before;
+        time.run(START + (Scenario.SECONDS + 7) * SECOND); // lets every request get its response
+        double before = tally.share(Scenario.WARM_SECOND, Scenario.FAULTS_BEGIN);
+        int recoverySeconds = -1;
+        for (int second = Scenario.SECONDS - 1;
+                second >= Scenario.FAULTS_END && tally.rows().get(second).share() >= Scenario.RECOVERED_SHARE * before;
                 second--) {
-            back = second - Day.OVER;
+            recoverySeconds = second - Scenario.FAULTS_END;
         }
-        int end = Day.SECONDS;
-        return new Result(
+        int end = Scenario.SECONDS;
+        return new RunResult(
                 tally,
-                referee,
-                back,
+                checker,
+                recoverySeconds,
                 before,
-                tally.share(Day.FAULT, Day.OVER),
-                tally.share(Day.OVER, end),
+                tally.share(Scenario.FAULTS_BEGIN, Scenario.FAULTS_END),
+                tally.share(Scenario.FAULTS_END, end),
                 tally.sum(Count.ASKED, 0, end),
                 tally.sum(Count.ATTEMPTS, 0, end),
-                ledger.fetches,
-                ledger.mostFetched(),
-                ledger.keysFetched(),
+                origin.fetches,
+                origin.maxFetchesOfOneKey(),
+                origin.keysFetched(),
                 tally.sum(Count.HANDSHAKES, 0, end),
                 tally.sum(Count.LIST_CALLS, 0, end));
     }
 
-    private void look() {
-        if (time.now() >= START + Day.SECONDS * SECOND) {
+    private void sampleEverySecond() {
+        if (time.now() >= START + Scenario.SECONDS * SECOND) {
             return;
         }
-        proxies.forEach(proxy -> proxy.look(tally));
-        tally.add(time.now(), Count.FETCHES, ledger.fetches - fetchesSeen);
-        fetchesSeen = ledger.fetches;
+        proxies.forEach(proxy -> proxy.sample(tally));
+        tally.add(time.now(), Count.FETCHES, origin.fetches - fetchesCounted);
+        fetchesCounted = origin.fetches;
         tally.add(
                 time.now(),
                 Count.PROXIES_WITH_LIST,
-                proxies.stream().filter(SimulatedProxy::listed).count());
-        time.after(SECOND, this::look);
+                proxies.stream().filter(SimulatedProxy::hasList).count());
+        time.after(SECOND, this::sampleEverySecond);
     }
 }
--- a/src/main/java/gorsemast/emulator/ClusterSettings.java
+++ b/src/main/java/gorsemast/emulator/ClusterSettings.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * The sizes of an emulated tier. Times in microseconds, rates a second.
+ * Settings of a simulated tier. Times in microseconds, rates per second.
  *
- * @param load the part of all nodes' warm capacity that is asked for
- * @param workMicros what a request takes a node's hand in the mean
- * @param crossMicros one way between zones; {@code nearMicros} within one
- * @param nodeConnections places for connections at a node
- * @param registerCalls answers that the register gives a second; a whole list counts {@code wholeListCalls} of them
- * @param noticeMicros how long the register takes to notice that a node has died
- * @param skew how unevenly the traffic falls on the proxies: the standard deviation of the logarithm
- * @param missHolds whether a read that waits for the ledger keeps its node's hand
- * @param seed from which everything is drawn
+ * @param load requested share of the warm capacity of all nodes
+ * @param workMicros mean service time of a request at a node
+ * @param crossZoneMicros one way between zones; {@code sameZoneMicros} within one
+ * @param nodeConnections connection slots of a node
+ * @param discoveryCallsPerSecond responses per second of the discovery service; a full list costs {@code fullListCost} of them
+ * @param failureDetectionMicros time until the discovery service notices that a node has died
+ * @param skew unevenness of traffic over proxies: standard deviation of the logarithm
+ * @param missHoldsWorker whether a read that waits for the origin occupies a worker of its node
+ * @param seed seed of all random draws
  */
 public record ClusterSettings(
         int proxies,
@@ -24,36 +24,36 @@
         int zones,
         double load,
         long workMicros,
-        long nearMicros,
-        long crossMicros,
+        long sameZoneMicros,
+        long crossZoneMicros,
         long handshakeMicros,
-        int nodeHands,
-        int nodeRow,
+        int nodeWorkers,
+        int nodeQueue,
         int nodeConnections,
         int proxyConnections,
-        int proxyPlaces,
-        double hits,
-        long keepMicros,
+        int proxySlots,
+        double hitShare,
+        long cacheTtlMicros,
         double coldShare,
         long coldMicros,
-        double registerCalls,
-        double wholeListCalls,
-        long noticeMicros,
+        double discoveryCallsPerSecond,
+        double fullListCost,
+        long failureDetectionMicros,
         int keys,
         double zipf,
         double skew,
-        boolean missHolds,
+        boolean missHoldsWorker,
         long seed) {
     private static final long MILLI = 1_000;
-    /** Classes as an installation of card readers has them: balance, history, top-up, transfer. */
+    /** Request classes of a card-reader installation: balance, history, top-up, transfer. */
     static final List<Balancer.RequestClass> CLASSES = List.of(
             new Balancer.RequestClass(Effect.SAFE, Group.ALL, 0, 600 * MILLI, 2_500 * MILLI, 1),
             new Balancer.RequestClass(Effect.SAFE, Group.ALL, 0, 1_500 * MILLI, 6_000 * MILLI, 1),
             new Balancer.RequestClass(Effect.UNSAFE, Group.ALL, 0, 1_200 * MILLI, 3_000 * MILLI, 10),
             new Balancer.RequestClass(Effect.KEYED, Group.ALL, 2_000 * MILLI, 1_500 * MILLI, 3_000 * MILLI, 2));
-    /** Their shares of all requests. */
+    /** Share of each class among all requests. */
     static final double[] SHARES = {0.62, 0.30, 0.045, 0.035};
-    /** What a late answer is worth, of the class's worth. */
+    /** Value of a late response relative to one in time. */
     static final double LATE_WORTH = 0.2;
 
     static final List<Balancer.Tenant> TENANTS = List.of(
@@ -61,9 +61,9 @@
             new Balancer.Tenant(0.21, 1e6),
             new Balancer.Tenant(0.15, 1e6),
             new Balancer.Tenant(0.08, 1e6));
-    private static final long ASK_WITHIN = 10_000 * MILLI;
+    private static final long LIST_CALL_INTERVAL = 10_000 * MILLI;
 
-    /** An installation of that size with usual figures. */
+    /** Returns settings for an installation of that size with typical values. */
     public static ClusterSettings of(int proxies, int nodes, long seed) {
         if (proxies < 1 || nodes < 3) {
             throw new IllegalArgumentException("at least 1 proxy and 3 nodes, not " + proxies + " and " + nodes);
@@ -96,59 +96,59 @@
                 seed);
     }
 
-    /** The same with another share of the capacity asked for. */
-    public ClusterSettings load(double part) {
+    /** Returns these settings with another load. */
+    public ClusterSettings withLoad(double newLoad) {
         return new ClusterSettings(
                 proxies,
                 nodes,
                 zones,
-                part,
+                newLoad,
                 workMicros,
-                nearMicros,
-                crossMicros,
+                sameZoneMicros,
+                crossZoneMicros,
                 handshakeMicros,
-                nodeHands,
-                nodeRow,
+                nodeWorkers,
+                nodeQueue,
                 nodeConnections,
                 proxyConnections,
-                proxyPlaces,
-                hits,
-                keepMicros,
+                proxySlots,
+                hitShare,
+                cacheTtlMicros,
                 coldShare,
                 coldMicros,
-                registerCalls,
-                wholeListCalls,
-                noticeMicros,
+                discoveryCallsPerSecond,
+                fullListCost,
+                failureDetectionMicros,
                 keys,
                 zipf,
                 skew,
-                missHolds,
+                missHoldsWorker,
                 seed);
     }
 
-    /** The same, where a read that waits for the ledger keeps its node's hand. */
-    public ClusterSettings holdingMisses() {
+    /** Returns these settings with reads that occupy a worker while they wait for the origin. */
+    public ClusterSettings withMissesHoldingWorkers() {
         return new ClusterSettings(
                 proxies,
                 nodes,
                 zones,
                 load,
                 workMicros,
-                nearMicros,
-                crossMicros,
+                sameZoneMicros,
+                crossZoneMicros,
                 handshakeMicros,
-                nodeHands,
-                nodeRow,
+                nodeWorkers,
+                nodeQueue,
                 nodeConnections,
                 proxyConnections,
-                proxyPlaces,
-                hits,
-                keepMicros,
+                proxySlots,
+                hitShare,
+                cacheTtlMicros,
                 coldShare,
                 coldMicros,
-                registerCalls,
-                wholeListCalls,
-                noticeMicros,
+                discoveryCallsPerSecond,
+                fullListCost,
+                failureDetectionMicros,
                 keys,
                 zipf,
                 skew,
@@ -156,13 +156,13 @@
                 seed);
     }
 
-    /** Requests a second over all proxies. */
-    double rate() {
-        return load * nodes * nodeHands * 1e6 / workMicros;
+    /** Requests per second over all proxies. */
+    double requestsPerSecond() {
+        return load * nodes * nodeWorkers * 1e6 / workMicros;
     }
 
-    /** What one proxy's module is told at its start. */
-    Balancer.Settings module(int zone) {
+    /** Settings of the decision module of a proxy in this zone. */
+    Balancer.Settings moduleSettings(int zone) {
         return new Balancer.Settings(
                 proxies,
                 zone,
@@ -176,7 +176,7 @@
                 true,
                 2_000 * MILLI,
                 true,
-                ASK_WITHIN,
+                LIST_CALL_INTERVAL,
                 coldShare,
                 coldMicros,
                 0,
@@ -184,7 +184,7 @@
                 0);
     }
 
-    static long askWithin() {
-        return ASK_WITHIN;
+    static long listCallInterval() {
+        return LIST_CALL_INTERVAL;
     }
 }
--- a/src/main/java/gorsemast/emulator/Connections.java
+++ b/src/main/java/gorsemast/emulator/Connections.java
@@ -5,7 +5,7 @@
 import anisebend.Balancer.Effect;
 import anisebend.Balancer.Server;
 import gorsemast.emulator.Tally.Count;
-import gorsemast.emulator.Workload.Ask;
+import gorsemast.emulator.Workload.ClientRequest;
 import gorsemast.pool.ConnectionPools;
 import gorsemast.pool.ConnectionPools.OpenDecision;
 import java.util.ArrayDeque;
@@ -19,48 +19,50 @@
 import java.util.SplittableRandom;
 
 /**
- * A proxy's connections to cache nodes, as the real {@link ConnectionPools} allow them. Follows {@code net.Upstream}: one request a
- * connection at a time, written at most once, and nothing is sent again from here. O(1) an event but for those that wait.
+ * A proxy's connections to cache nodes, governed by the real {@link ConnectionPools}. Mirrors {@code net.Upstream}: each
+ * connection carries one request at a time, which is written at most once; nothing is retried here. O(1) per event apart
+ * from waiting attempts.
  */
 final class Connections {
     private static final long CONNECT_TIMEOUT_MICROS = 250_000;
 
-    /** One connection; at most one attempt is on it. */
+    /** A connection; carries at most one attempt. */
     final class Connection {
         final Server node;
-        private final CacheNode end;
-        private int endLife;
+        private final CacheNode peer;
+        private int peerIncarnation;
         private boolean closed;
         Attempt attempt;
 
         private Connection(Server node) {
             this.node = node;
-            this.end = cluster.node(node.id());
+            this.peer = cluster.node(node.id());
         }
 
         private void open() {
             pools.connectStarted(time.now(), node.id());
             cluster.tally.add(time.now(), Count.HANDSHAKES);
-            time.after(cluster.oneWay(proxy.zone, end), () -> {
-                if (!cluster.reaches(proxy.zone, end)) {
-                    ifRunning(CONNECT_TIMEOUT_MICROS, this::failed);
-                } else if (end.condition() != CacheNode.Condition.UP || !end.accept()) {
-                    ifRunning(cluster.oneWay(proxy.zone, end), this::failed);
+            time.after(cluster.oneWayMicros(proxy.zone, peer), () -> {
+                if (!cluster.reaches(proxy.zone, peer)) {
+                    afterIfRunning(CONNECT_TIMEOUT_MICROS, this::failed);
+                } else if (peer.condition() != CacheNode.Condition.UP || !peer.acceptConnection()) {
+                    afterIfRunning(cluster.oneWayMicros(proxy.zone, peer), this::failed);
                 } else {
-                    endLife = end.life();
-                    ifRunning(cluster.oneWay(proxy.zone, end) + settings.handshakeMicros(), this::up);
+                    peerIncarnation = peer.incarnation();
+                    afterIfRunning(
+                            cluster.oneWayMicros(proxy.zone, peer) + settings.handshakeMicros(), this::established);
                 }
             });
         }
 
-        private void up() {
-            if (closed || end.life() != endLife) {
+        private void established() {
+            if (closed || peer.incarnation() != peerIncarnation) {
                 failed();
                 return;
             }
-            all.add(this);
+            established.add(this);
             pools.connected(node.id());
-            offer(0);
+            assignOrIdle(0);
         }
 
         /** See {@code net.Upstream.Connection.failed}. */
@@ -68,30 +70,30 @@
             closed = true;
             cluster.tally.add(time.now(), Count.CONNECTS_FAILED);
             if (pools.connectFailed(time.now(), node.id())) {
-                Attempt met = next(node.id());
-                if (met != null) {
-                    met.end(Code.CONNECT_FAILED, CacheStatus.NONE);
+                Attempt first = pollWaiting(node.id());
+                if (first != null) {
+                    first.end(Code.CONNECT_FAILED, CacheStatus.NONE);
                 }
-                while (waits(node.id()) > pools.connectingCount(node.id())) {
-                    next(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
+                while (waitingCount(node.id()) > pools.connectingCount(node.id())) {
+                    pollWaiting(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
                 }
             }
-            grow(node);
+            openForWaiting(node);
         }
 
-        private void offer(int others) {
+        private void assignOrIdle(int reservedForConnecting) {
             if (!proxy.ready(node)) {
                 close();
                 closeIdle(node.id());
-                grow(node);
-            } else if (waits(node.id()) > others) {
-                carry(next(node.id()));
+                openForWaiting(node);
+            } else if (waitingCount(node.id()) > reservedForConnecting) {
+                write(pollWaiting(node.id()));
             } else {
                 idle.computeIfAbsent(node.id(), id -> new ArrayDeque<>()).addLast(this);
             }
         }
 
-        private void carry(Attempt next) {
+        private void write(Attempt next) {
             attempt = next;
             next.connection = this;
             pools.acquired(time.now(), node.id());
@@ -100,28 +102,28 @@
                 return;
             }
             next.written = true;
-            cluster.referee.wroteToDraining(
-                    time.now(), "proxy " + proxy.number, node.id(), proxy.drainToldAt(node.id()));
-            cluster.tally.add(time.now(), Count.CROSSED, proxy.zone == end.zone ? 0 : 1);
-            time.after(cluster.oneWay(proxy.zone, end), () -> arrive(next));
+            cluster.checker.wroteToDraining(
+                    time.now(), "proxy " + proxy.number, node.id(), proxy.drainReceivedAt(node.id()));
+            cluster.tally.add(time.now(), Count.CROSSED, proxy.zone == peer.zone ? 0 : 1);
+            time.after(cluster.oneWayMicros(proxy.zone, peer), () -> deliver(next));
         }
 
-        /** What was written comes there, whatever has become of its sender, unless the connection has been closed. */
-        private void arrive(Attempt sent) {
-            if (sent.ended || end.life() != endLife || !cluster.reaches(proxy.zone, end)) {
+        /** Delivers a written request, whatever has become of its sender, unless the connection has been closed. */
+        private void deliver(Attempt sent) {
+            if (sent.ended || peer.incarnation() != peerIncarnation || !cluster.reaches(proxy.zone, peer)) {
                 return;
             }
-            boolean answerLost = cluster.losesAnswer();
+            boolean responseLost = cluster.losesResponse();
             if (cluster.breaksConnection()) {
-                ifRunning(cluster.oneWay(proxy.zone, end), () -> sent.end(Code.RESET, CacheStatus.NONE));
+                afterIfRunning(cluster.oneWayMicros(proxy.zone, peer), () -> sent.end(Code.RESET, CacheStatus.NONE));
                 return;
             }
-            Ask ask = sent.ask;
-            sent.work = end.request(
+            ClientRequest ask = sent.request;
+            sent.work = peer.request(
                     ask.key,
                     ask.rules().effect() != Effect.SAFE,
-                    ask.took,
-                    () -> cluster.referee.ran(
+                    ask.serviceMicros,
+                    () -> cluster.checker.executed(
                             time.now(),
                             ask.id,
                             ask.rules().effect(),
@@ -129,22 +131,23 @@
                     new CacheNode.Reply() {
                         @Override
                         public void served(CacheStatus note) {
-                            back(Code.OK, note);
+                            respond(Code.OK, note);
                         }
 
                         @Override
                         public void error() {
-                            back(Code.ERROR, CacheStatus.NONE);
+                            respond(Code.ERROR, CacheStatus.NONE);
                         }
 
                         @Override
-                        public void turnedAway() {
-                            back(Code.FULL, CacheStatus.NONE);
+                        public void rejected() {
+                            respond(Code.FULL, CacheStatus.NONE);
                         }
 
-                        private void back(Code code, CacheStatus note) {
-                            if (!answerLost && cluster.reaches(proxy.zone, end)) {
-                                ifRunning(cluster.oneWay(proxy.zone, end), () -> sent.end(code, note));
+                        private void respond(Code code, CacheStatus cacheStatus) {
+                            if (!responseLost && cluster.reaches(proxy.zone, peer)) {
+                                afterIfRunning(
+                                        cluster.oneWayMicros(proxy.zone, peer), () -> sent.end(code, cacheStatus));
                             }
                         }
                     });
@@ -153,13 +156,13 @@
         private void close() {
             if (!closed) {
                 closed = true;
-                Deque<Connection> kept = idle.get(node.id());
-                if (kept != null) {
-                    kept.remove(this);
+                Deque<Connection> idleHere = idle.get(node.id());
+                if (idleHere != null) {
+                    idleHere.remove(this);
                 }
-                all.remove(this);
+                established.remove(this);
                 pools.closed(node.id());
-                time.after(cluster.oneWay(proxy.zone, end), () -> end.closed(endLife));
+                time.after(cluster.oneWayMicros(proxy.zone, peer), () -> peer.connectionClosed(peerIncarnation));
             }
         }
     }
@@ -168,51 +171,51 @@
     private final Cluster cluster;
     private final VirtualTime time;
     private final ClusterSettings settings;
-    private final int life;
+    private final int incarnation;
     private final ConnectionPools pools;
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
     private final Map<String, Deque<Attempt>> waiting = new HashMap<>();
-    private final Set<Connection> all = new LinkedHashSet<>();
+    private final Set<Connection> established = new LinkedHashSet<>();
 
     Connections(SimulatedProxy proxy, Cluster cluster) {
         this.proxy = proxy;
         this.cluster = cluster;
         this.time = cluster.time;
         this.settings = cluster.settings;
-        this.life = proxy.life();
+        this.incarnation = proxy.incarnation();
         this.pools = new ConnectionPools(
-                settings.proxyConnections(), new SplittableRandom(cluster.seed(proxy.number, life)));
+                settings.proxyConnections(), new SplittableRandom(cluster.seed(proxy.number, incarnation)));
     }
 
-    private void ifRunning(long micros, Runnable what) {
+    private void afterIfRunning(long micros, Runnable action) {
         time.after(micros, () -> {
-            if (proxy.runs(life)) {
-                what.run();
+            if (proxy.isRunning(incarnation)) {
+                action.run();
             }
         });
     }
 
-    Attempt send(Server node, Ask ask, long waitMicros, Attempt.Ending ending) {
-        Attempt attempt = new Attempt(node, ask, this, ending);
-        ifRunning(waitMicros, attempt::expire);
+    Attempt send(Server node, ClientRequest request, long waitMicros, Attempt.OutcomeListener listener) {
+        Attempt attempt = new Attempt(node, request, this, listener);
+        afterIfRunning(waitMicros, attempt::expire);
         Deque<Connection> kept = idle.get(node.id());
         Connection connection = kept == null ? null : kept.pollFirst();
         if (connection != null) {
-            connection.carry(attempt);
+            connection.write(attempt);
         } else {
             waiting.computeIfAbsent(node.id(), id -> new ArrayDeque<>()).addLast(attempt);
-            ifRunning(waitMicros / 2, attempt::tire);
-            grow(node);
+            afterIfRunning(waitMicros / 2, attempt::giveUpWaiting);
+            openForWaiting(node);
         }
         return attempt;
     }
 
-    int open(String node) {
+    int openCount(String node) {
         return pools.openCount(node);
     }
 
-    /** An attempt has ended: only a whole answer frees its connection. */
-    void over(Attempt attempt, Code code) {
+    /** Handles the end of an attempt: only a complete response leaves its connection reusable. */
+    void attemptEnded(Attempt attempt, Code code) {
         Connection connection = attempt.connection;
         if (connection == null) {
             return;
@@ -220,17 +223,17 @@
         connection.attempt = null;
         pools.released(connection.node.id());
         if (code == Code.OK || code == Code.FULL || code == Code.ERROR) {
-            connection.offer(pools.connectingCount(connection.node.id()));
+            connection.assignOrIdle(pools.connectingCount(connection.node.id()));
         } else {
             connection.close();
-            CacheNode.Work work = attempt.work;
-            if (work != null && cluster.reaches(proxy.zone, connection.end)) {
-                time.after(cluster.oneWay(proxy.zone, connection.end), work::cancel);
+            CacheNode.PendingRequest work = attempt.work;
+            if (work != null && cluster.reaches(proxy.zone, connection.peer)) {
+                time.after(cluster.oneWayMicros(proxy.zone, connection.peer), work::cancel);
             }
         }
     }
 
-    private int waits(String node) {
+    private int waitingCount(String node) {
         Deque<Attempt> row = waiting.get(node);
         if (row == null) {
             return 0;
@@ -239,27 +242,27 @@
         return row.size();
     }
 
-    private Attempt next(String node) {
-        return waits(node) == 0 ? null : waiting.get(node).pollFirst();
+    private Attempt pollWaiting(String node) {
+        return waitingCount(node) == 0 ? null : waiting.get(node).pollFirst();
     }
 
-    private boolean idles(String node) {
+    private boolean hasIdle(String node) {
         Deque<Connection> kept = idle.get(node);
         return kept != null && !kept.isEmpty();
     }
 
-    private void grow(Server node) {
-        while (idles(node.id()) && waits(node.id()) > pools.connectingCount(node.id())) {
-            idle.get(node.id()).pollFirst().carry(next(node.id()));
+    private void openForWaiting(Server node) {
+        while (hasIdle(node.id()) && waitingCount(node.id()) > pools.connectingCount(node.id())) {
+            idle.get(node.id()).pollFirst().write(pollWaiting(node.id()));
         }
-        for (int waits = waits(node.id()); waits > 0; waits = waits(node.id())) {
-            OpenDecision room = pools.decideOpen(time.now(), node.id(), waits);
-            if (room == OpenDecision.NONE && !closeOneIdle()) {
-                next(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
-            } else if (room == OpenDecision.WAIT) {
-                long trial = pools.nextTrialAt(node.id()) - time.now();
-                if (trial > 0) {
-                    ifRunning(trial, () -> grow(node));
+        for (int waits = waitingCount(node.id()); waits > 0; waits = waitingCount(node.id())) {
+            OpenDecision decision = pools.decideOpen(time.now(), node.id(), waits);
+            if (decision == OpenDecision.NONE && !closeOneIdle()) {
+                pollWaiting(node.id()).end(Code.NOT_SENT, CacheStatus.NONE);
+            } else if (decision == OpenDecision.WAIT) {
+                long untilTrial = pools.nextTrialAt(node.id()) - time.now();
+                if (untilTrial > 0) {
+                    afterIfRunning(untilTrial, () -> openForWaiting(node));
                 }
                 return;
             } else {
@@ -270,7 +273,7 @@
 
     private boolean closeOneIdle() {
         String node = pools.nodeWithMostIdle();
-        if (node == null || !idles(node)) {
+        if (node == null || !hasIdle(node)) {
             return false;
         }
         idle.get(node).getFirst().close();
@@ -290,11 +293,11 @@
         }
     }
 
-    /** The node's process has died. */
+    /** Breaks the connections to a node whose process has died. */
     void reset(String node) {
-        for (Connection connection : new ArrayList<>(all)) {
+        for (Connection connection : new ArrayList<>(established)) {
             if (connection.node.id().equals(node)) {
-                ifRunning(cluster.oneWay(proxy.zone, connection.end), () -> {
+                afterIfRunning(cluster.oneWayMicros(proxy.zone, connection.peer), () -> {
                     Attempt out = connection.attempt;
                     connection.close();
                     if (out != null) {
@@ -305,15 +308,15 @@
         }
     }
 
-    /** This process has died: the nodes see its connections close. */
+    /** Closes all connections after this process has died. */
     void closeAll() {
-        for (Connection connection : new ArrayList<>(all)) {
+        for (Connection connection : new ArrayList<>(established)) {
             Attempt out = connection.attempt;
             connection.close();
             if (out != null) {
                 out.ended = true;
-                if (out.work != null && cluster.reaches(proxy.zone, connection.end)) {
-                    time.after(cluster.oneWay(proxy.zone, connection.end), out.work::cancel);
+                if (out.work != null && cluster.reaches(proxy.zone, connection.peer)) {
+                    time.after(cluster.oneWayMicros(proxy.zone, connection.peer), out.work::cancel);
                 }
             }
         }
--- a/src/main/java/gorsemast/emulator/Growth.java
+++ b/src/main/java/gorsemast/emulator/Growth.java
@@ -1,6 +1,6 @@
 package gorsemast.emulator;
 
-import gorsemast.emulator.Cluster.Result;
+import gorsemast.emulator.Cluster.RunResult;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -8,49 +8,51 @@
 import java.util.function.ToDoubleBiFunction;
 
 /**
- * How what the whole tier does for a request grows with the number of proxies and of nodes.
+ * Measures how the cost of a request over the whole tier grows with the number of proxies and nodes.
  *
- * <p>Each size is one run of a {@link Day} from one seed; an exponent is that of the power law through the first and the
- * last size. What each proxy does alone and nobody bounds over all has an exponent near 1 a proxy.
+ * <p>Each size is one run of a {@link Scenario} from one seed; an exponent belongs to the power law through the first and
+ * the last size. Work that each proxy does by itself, without a bound over all proxies, has an exponent near 1.
  */
 public final class Growth {
-    /** A figure of a run with so many proxies, by its heading. */
-    private record Figure(String name, ToDoubleBiFunction<Result, Integer> of) {}
+    /** A figure computed from a run and its number of proxies, with its column heading. */
+    private record Figure(String name, ToDoubleBiFunction<RunResult, Integer> of) {}
 
     private static final List<Figure> FIGURES = List.of(
             new Figure("served before", (result, proxies) -> result.before()),
             new Figure("during", (result, proxies) -> result.during()),
             new Figure("after", (result, proxies) -> result.after()),
-            new Figure("back, s", (result, proxies) -> result.back() < 0 ? Double.NaN : result.back()),
+            new Figure(
+                    "back, s",
+                    (result, proxies) -> result.recoverySeconds() < 0 ? Double.NaN : result.recoverySeconds()),
             new Figure("attempts a request", (result, proxies) -> (double) result.attempts() / result.asked()),
             new Figure("fetches a request", (result, proxies) -> (double) result.fetches() / result.asked()),
             new Figure("fetches a key", (result, proxies) -> (double) result.fetches() / result.keysFetched()),
             new Figure("handshakes a request", (result, proxies) -> (double) result.handshakes() / result.asked()),
             new Figure(
                     "list calls a proxy and s",
-                    (result, proxies) -> (double) result.listCalls() / proxies / Day.SECONDS),
-            new Figure("fallen", (result, proxies) -> result.referee().fallen()));
+                    (result, proxies) -> (double) result.listCalls() / proxies / Scenario.SECONDS),
+            new Figure("fallen", (result, proxies) -> result.checker().fallen()));
 
     private Growth() {}
 
-    /** The table, as Markdown, a row for each size. */
-    public static String table(Day day, List<Integer> proxies, List<Integer> nodes, long seed) {
+    /** Returns a Markdown table with a row for each size. */
+    public static String table(Scenario scenario, List<Integer> proxies, List<Integer> nodes, long seed) {
         if (proxies.size() != nodes.size()) {
             throw new IllegalArgumentException(
-                    "as many sizes of proxies as of nodes, not " + proxies + " and " + nodes);
+                    "the number of proxy sizes must equal the number of node sizes: " + proxies + " and " + nodes);
         }
         StringBuilder s = new StringBuilder("| proxies | nodes |");
         FIGURES.forEach(figure -> s.append(' ').append(figure.name).append(" |"));
         s.append("\n|").append(" --- |".repeat(FIGURES.size() + 2)).append('\n');
         List<double[]> rows = new ArrayList<>();
         for (int i = 0; i < proxies.size(); i++) {
-            int many = proxies.get(i);
-            Result result = new Cluster(ClusterSettings.of(many, nodes.get(i), seed)).play(day);
+            int proxyCount = proxies.get(i);
+            RunResult result = new Cluster(ClusterSettings.of(proxyCount, nodes.get(i), seed)).run(scenario);
             double[] row = FIGURES.stream()
-                    .mapToDouble(figure -> figure.of.applyAsDouble(result, many))
+                    .mapToDouble(figure -> figure.of.applyAsDouble(result, proxyCount))
                     .toArray();
             rows.add(row);
-            s.append("| ").append(many).append(" | ").append(nodes.get(i)).append(" |");
+            s.append("| ").append(proxyCount).append(" | ").append(nodes.get(i)).append(" |");
             Arrays.stream(row).forEach(value -> s.append(String.format(Locale.ROOT, " %.3f |", value)));
             s.append('\n');
         }
--- a/src/main/java/gorsemast/emulator/SimulatedProxy.java
+++ b/src/main/java/gorsemast/emulator/SimulatedProxy.java
@@ -8,7 +8,7 @@
 import anisebend.Balancer.State;
 import anisebend.BalancingPolicy;
 import gorsemast.emulator.Tally.Count;
-import gorsemast.emulator.Workload.Ask;
+import gorsemast.emulator.Workload.ClientRequest;
 import gorsemast.register.ListWatch;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,26 +18,26 @@
 import java.util.Queue;
 
 /**
- * One proxy with its real decisions: the module, the pools of connections and the list watch; what is modelled is only
- * what carries them out.
+ * One proxy with the real decision module, connection pools and list watch; only what carries out their decisions is
+ * modelled.
  *
- * <p>Follows {@code net.Engine}: the module is never entered while it runs, each attempt has one outcome, and what the
- * module has left unanswered fails shortly before its client's time. One thread.
+ * <p>Mirrors {@code net.Engine}: calls into the module never nest, each attempt has one outcome, and a request that the
+ * module leaves unanswered fails shortly before its deadline. Single-threaded.
  */
 final class SimulatedProxy implements Balancer.Actions {
     private static final long MARGIN_MICROS = 10_000;
     private static final long BACKSTOP_MICROS = 5_000;
-    /** A dead process is up again after so long, and serves from then on. */
+    /** Time that a process needs to start and serve. */
     private static final long START_MICROS = 700_000;
 
     private static final class Exchange {
-        final Ask ask;
-        Attempt out;
+        final ClientRequest request;
+        Attempt current;
         int attempts;
         boolean answered;
 
-        Exchange(Ask ask) {
-            this.ask = ask;
+        Exchange(ClientRequest request) {
+            this.request = request;
         }
     }
 
@@ -45,23 +45,23 @@
     final int zone;
     private final Cluster cluster;
     private final VirtualTime time;
-    private int life;
+    private int incarnation;
     private boolean up;
-    private boolean ending;
+    private boolean stopping;
     private Balancer module;
     private ListWatch watch;
     private Connections connections;
-    private Runnable giveUpCall;
+    private Runnable cancelListCall;
     private Map<String, Server> nodes = new HashMap<>();
     private long nodesVersion;
-    /** When each node that drains or has gone was first told so to this process. */
-    private final Map<String, Long> drainTold = new HashMap<>();
+    /** When this process first learned that each node drains or has gone. */
+    private final Map<String, Long> drainReceivedAt = new HashMap<>();
 
     private final Map<String, Exchange> open = new HashMap<>();
-    private final Queue<Runnable> events = new ArrayDeque<>();
-    private final Queue<Runnable> actions = new ArrayDeque<>();
+    private final Queue<Runnable> moduleEvents = new ArrayDeque<>();
+    private final Queue<Runnable> moduleActions = new ArrayDeque<>();
     private boolean busy;
-    private long[] concluded;
+    private long[] unservedCounted;
 
     SimulatedProxy(int number, int zone, Cluster cluster) {
         this.number = number;
@@ -70,105 +70,106 @@
         this.time = cluster.time;
     }
 
-    // ---- life
+    // ---- lifecycle
 
-    /** Starts a process from the list that is kept here, or that is given. */
+    /** Starts a process with a known list of nodes. */
     void start(List<Server> known, long version) {
-        life++;
+        incarnation++;
         up = true;
-        ending = false;
+        stopping = false;
         module = new BalancingPolicy(this);
-        watch = new ListWatch(ClusterSettings.askWithin());
+        watch = new ListWatch(ClusterSettings.listCallInterval());
         connections = new Connections(this, cluster);
         nodes = new HashMap<>();
-        drainTold.clear();
+        drainReceivedAt.clear();
         open.clear();
-        events.clear();
-        actions.clear();
+        moduleEvents.clear();
+        moduleActions.clear();
         busy = false;
-        concluded = new long[Balancer.UnservedReason.values().length];
-        tell(() -> module.start(time.now(), cluster.seed(number, life), cluster.settings.module(zone)));
+        unservedCounted = new long[Balancer.UnservedReason.values().length];
+        dispatch(() ->
+                module.start(time.now(), cluster.seed(number, incarnation), cluster.settings.moduleSettings(zone)));
         apply(ListKind.CACHED, known, version);
     }
 
-    /** SIGKILL: what it has in hand is gone; it comes back from the list that it knew after {@code downFor}. */
-    void kill(long downFor) {
+    /** SIGKILL: requests in flight are lost; the process restarts with the list that it knew after {@code downFor}. */
+    void kill(long downMicros) {
         if (!up) {
             return;
         }
         up = false;
-        life++;
-        hangUp();
+        incarnation++;
+        cancelOpenListCall();
         connections.closeAll();
         List<Exchange> orphans = new ArrayList<>(open.values());
         open.clear();
-        orphans.stream().filter(x -> !x.answered).forEach(x -> cluster.workload.orphaned(x.ask));
+        orphans.stream().filter(x -> !x.answered).forEach(x -> cluster.workload.orphaned(x.request));
         List<Server> known = List.copyOf(nodes.values());
-        time.after(downFor + START_MICROS, () -> start(known, nodesVersion));
+        time.after(downMicros + START_MICROS, () -> start(known, nodesVersion));
     }
 
-    /** SIGTERM: takes nothing new any more, finishes what it has, and is started anew. */
-    void restart(long finishes) {
-        if (up && !ending) {
-            ending = true;
-            int mine = life;
-            time.after(finishes, () -> {
-                if (mine == life) {
+    /** SIGTERM: accepts no new requests, finishes those in flight, then restarts. */
+    void restart(long drainMicros) {
+        if (up && !stopping) {
+            stopping = true;
+            int mine = incarnation;
+            time.after(drainMicros, () -> {
+                if (mine == incarnation) {
                     kill(0);
                 }
             });
         }
     }
 
-    /** Whether it takes clients. */
+    /** Whether it accepts clients. */
     boolean serves() {
-        return up && !ending;
+        return up && !stopping;
     }
 
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
-    boolean runs(int ofLife) {
-        return up && life == ofLife;
+    boolean isRunning(int ofIncarnation) {
+        return up && incarnation == ofIncarnation;
     }
 
-    /** Whether its register has told it a whole list since its start. */
-    boolean listed() {
+    /** Whether it has received a full list from the discovery service since its start. */
+    boolean hasList() {
         return up && watch.listed();
     }
 
     // ---- requests
 
-    /** Takes a request; false where no connection of its clients is free. */
-    boolean take(Ask ask) {
-        if (!up || open.size() >= cluster.settings.proxyPlaces()) {
+    /** Accepts a request; false if no client connection slot is free. */
+    boolean accept(ClientRequest clientRequest) {
+        if (!up || open.size() >= cluster.settings.proxySlots()) {
             return false;
         }
-        Exchange x = new Exchange(ask);
-        open.put(ask.id, x);
-        int mine = life;
-        time.after(ask.deadline - BACKSTOP_MICROS - time.now(), () -> {
-            if (runs(mine) && !x.answered) {
+        Exchange x = new Exchange(clientRequest);
+        open.put(clientRequest.id, x);
+        int mine = incarnation;
+        time.after(clientRequest.deadline - BACKSTOP_MICROS - time.now(), () -> {
+            if (isRunning(mine) && !x.answered) {
                 conclude(x);
-                cluster.workload.failed(ask);
+                cluster.workload.failed(clientRequest);
                 abandon(x);
             }
         });
         Balancer.Request request = new Balancer.Request(
-                ask.id,
-                ask.type,
-                ask.tenant,
-                ask.key,
-                ask.deadline - MARGIN_MICROS,
-                ask.rules().effect() != Balancer.Effect.SAFE);
-        tell(() -> module.request(time.now(), request));
+                clientRequest.id,
+                clientRequest.type,
+                clientRequest.tenant,
+                clientRequest.key,
+                clientRequest.deadline - MARGIN_MICROS,
+                clientRequest.rules().effect() != Balancer.Effect.SAFE);
+        dispatch(() -> module.request(time.now(), request));
         return true;
     }
 
-    /** The client has gone. */
-    void left(Ask ask) {
-        Exchange x = open.get(ask.id);
+    /** Handles a client that has disconnected. */
+    void clientLeft(ClientRequest request) {
+        Exchange x = open.get(request.id);
         if (x != null && !x.answered) {
             conclude(x);
             abandon(x);
@@ -176,35 +177,35 @@
     }
 
     private void abandon(Exchange x) {
-        tell(() -> {
-            module.abandoned(time.now(), x.ask.id);
-            actions.add(() -> forget(x));
+        dispatch(() -> {
+            module.abandoned(time.now(), x.request.id);
+            moduleActions.add(() -> removeIfDone(x));
         });
     }
 
     private void conclude(Exchange x) {
         x.answered = true;
-        if (x.out != null) {
-            x.out.cancel();
+        if (x.current != null) {
+            x.current.cancel();
         }
     }
 
-    private void forget(Exchange x) {
-        if (x.answered && x.out == null) {
-            open.remove(x.ask.id);
+    private void removeIfDone(Exchange x) {
+        if (x.answered && x.current == null) {
+            open.remove(x.request.id);
         }
     }
 
-    private void tell(Runnable event) {
-        events.add(event);
+    private void dispatch(Runnable event) {
+        moduleEvents.add(event);
         if (busy) {
             return;
         }
         busy = true;
-        while (!events.isEmpty()) {
-            events.poll().run();
-            while (!actions.isEmpty()) {
-                actions.poll().run();
+        while (!moduleEvents.isEmpty()) {
+            moduleEvents.poll().run();
+            while (!moduleActions.isEmpty()) {
+                moduleActions.poll().run();
             }
         }
         busy = false;
@@ -214,7 +215,7 @@
 
     @Override
     public void send(String request, String server, long until) {
-        actions.add(() -> sendNow(request, server, until));
+        moduleActions.add(() -> sendNow(request, server, until));
     }
 
     private void sendNow(String request, String server, long until) {
@@ -222,35 +223,35 @@
         int attempt = x.attempts++;
         long sentAt = time.now();
         Server node = nodes.get(server);
-        long wait = Math.min(until, x.ask.deadline) - sentAt;
-        if (x.out != null) {
-            cluster.referee.twoOut(time.now(), request);
-            x.out.cancel();
+        long wait = Math.min(until, x.request.deadline) - sentAt;
+        if (x.current != null) {
+            cluster.checker.concurrentAttempts(time.now(), request);
+            x.current.cancel();
         }
         cluster.tally.add(sentAt, Count.ATTEMPTS);
         if (x.answered || node == null || wait <= 0) {
-            told(x, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE);
+            reportOutcome(x, attempt, sentAt, Code.NOT_SENT, CacheStatus.NONE);
             return;
         }
         Attempt[] mine = new Attempt[1];
         boolean[] over = new boolean[1];
-        mine[0] = connections.send(node, x.ask, wait, (code, note) -> {
+        mine[0] = connections.send(node, x.request, wait, (code, note) -> {
             over[0] = true;
-            if (x.out == mine[0]) {
-                x.out = null;
+            if (x.current == mine[0]) {
+                x.current = null;
             }
             if (code == Code.OK && !x.answered) {
                 conclude(x);
-                cluster.workload.served(x.ask);
+                cluster.workload.served(x.request);
             }
-            told(x, attempt, sentAt, code, note);
+            reportOutcome(x, attempt, sentAt, code, note);
         });
         if (!over[0]) {
-            x.out = mine[0];
+            x.current = mine[0];
         }
     }
 
-    private void told(Exchange x, int attempt, long sentAt, Code code, CacheStatus note) {
+    private void reportOutcome(Exchange x, int attempt, long sentAt, Code code, CacheStatus cacheStatus) {
         cluster.tally.add(
                 time.now(),
                 switch (code) {
@@ -263,40 +264,41 @@
                     case NOT_SENT -> Count.NOT_SENT;
                 });
         boolean over = x.answered;
-        tell(() -> {
+        dispatch(() -> {
             module.outcome(
-                    time.now(), new Balancer.Outcome(x.ask.id, attempt, code, time.now() - sentAt, over, note, null));
-            actions.add(() -> forget(x));
+                    time.now(),
+                    new Balancer.Outcome(x.request.id, attempt, code, time.now() - sentAt, over, cacheStatus, null));
+            moduleActions.add(() -> removeIfDone(x));
         });
     }
 
     @Override
     public void refuse(String request, long retryAfter) {
-        answer(request, x -> cluster.workload.refused(x.ask, retryAfter));
+        answer(request, x -> cluster.workload.refused(x.request, retryAfter));
     }
 
     @Override
     public void fail(String request) {
-        answer(request, x -> cluster.workload.failed(x.ask));
+        answer(request, x -> cluster.workload.failed(x.request));
     }
 
-    private void answer(String request, java.util.function.Consumer<Exchange> how) {
-        actions.add(() -> {
+    private void answer(String request, java.util.function.Consumer<Exchange> reply) {
+        moduleActions.add(() -> {
             Exchange x = open.get(request);
             if (x != null && !x.answered) {
                 conclude(x);
-                how.accept(x);
-                forget(x);
+                reply.accept(x);
+                removeIfDone(x);
             }
         });
     }
 
     @Override
     public void cancel(String request, int attempt) {
-        actions.add(() -> {
+        moduleActions.add(() -> {
             Exchange x = open.get(request);
-            if (x != null && x.out != null && x.attempts - 1 == attempt) {
-                x.out.cancel();
+            if (x != null && x.current != null && x.attempts - 1 == attempt) {
+                x.current.cancel();
             }
         });
     }
@@ -306,25 +308,25 @@
 
     @Override
     public void closeIdle(String server) {
-        actions.add(() -> connections.closeIdle(server));
+        moduleActions.add(() -> connections.closeIdle(server));
     }
 
     @Override
     public void subscribe() {
-        actions.add(() -> {
+        moduleActions.add(() -> {
             ListWatch.Call call = watch.subscribe();
             if (call != null) {
-                ask(call);
+                callDiscovery(call);
             }
         });
     }
 
     @Override
     public void timer(long at, long token) {
-        int mine = life;
-        actions.add(() -> time.after(at - time.now(), () -> {
-            if (runs(mine)) {
-                tell(() -> module.timer(time.now(), token));
+        int mine = incarnation;
+        moduleActions.add(() -> time.after(at - time.now(), () -> {
+            if (isRunning(mine)) {
+                dispatch(() -> module.timer(time.now(), token));
             }
         }));
     }
@@ -332,57 +334,58 @@
     @Override
     public void log(String text) {}
 
-    // ---- the list
+    // ---- node list
 
-    private void hangUp() {
-        if (giveUpCall != null) {
-            giveUpCall.run();
-            giveUpCall = null;
+    private void cancelOpenListCall() {
+        if (cancelListCall != null) {
+            cancelListCall.run();
+            cancelListCall = null;
         }
     }
 
-    private void ask(ListWatch.Call call) {
-        int mine = life;
+    private void callDiscovery(ListWatch.Call call) {
+        int mine = incarnation;
         cluster.tally.add(time.now(), Count.LIST_CALLS);
         boolean[] over = new boolean[1];
-        Runnable giveUp = cluster.register.call(call.whole(), call.after(), call.waitMicros(), new Register.Caller() {
-            @Override
-            public void answered(ListKind kind, List<Server> entries, long version) {
-                if (!runs(mine) || over[0]) {
-                    return;
-                }
-                over[0] = true;
-                cluster.tally.add(time.now(), Count.LIST_ANSWERS);
-                if (watch.answers(kind == ListKind.CHANGES)) {
-                    apply(kind, entries, version);
-                    ask(watch.taken(time.now(), version));
-                } else {
-                    failedCall();
-                }
-            }
-
-            @Override
-            public void failed() {
-                if (runs(mine) && !over[0]) {
-                    over[0] = true;
-                    failedCall();
-                }
-            }
-        });
-        giveUpCall = giveUp;
+        Runnable giveUp = cluster.discovery.call(
+                call.whole(), call.after(), call.waitMicros(), new DiscoveryService.ResponseHandler() {
+                    @Override
+                    public void answered(ListKind kind, List<Server> entries, long version) {
+                        if (!isRunning(mine) || over[0]) {
+                            return;
+                        }
+                        over[0] = true;
+                        cluster.tally.add(time.now(), Count.LIST_ANSWERS);
+                        if (watch.answers(kind == ListKind.CHANGES)) {
+                            apply(kind, entries, version);
+                            callDiscovery(watch.taken(time.now(), version));
+                        } else {
+                            listCallFailed();
+                        }
+                    }
+
+                    @Override
+                    public void failed() {
+                        if (isRunning(mine) && !over[0]) {
+                            over[0] = true;
+                            listCallFailed();
+                        }
+                    }
+                });
+        cancelListCall = giveUp;
         time.after(call.limitMicros(), () -> {
-            if (runs(mine) && !over[0]) {
+            if (isRunning(mine) && !over[0]) {
                 over[0] = true;
                 giveUp.run();
-                failedCall();
+                listCallFailed();
             }
         });
     }
 
-    private void failedCall() {
+    private void listCallFailed() {
         cluster.tally.add(time.now(), Count.LIST_FAILED);
         watch.failed();
-        tell(() -> module.servers(time.now(), ListKind.FAILED, List.of()));
+        dispatch(() -> module.servers(time.now(), ListKind.FAILED, List.of()));
     }
 
     private void apply(ListKind kind, List<Server> entries, long version) {
@@ -403,40 +406,40 @@
         List<String> unusable = new ArrayList<>();
         next.values().stream()
                 .filter(entry -> entry.state() == State.READY)
-                .forEach(entry -> drainTold.remove(entry.id()));
+                .forEach(entry -> drainReceivedAt.remove(entry.id()));
         for (Server old : before.values()) {
             Server now = next.get(old.id());
             if (now == null || now.state() != old.state() || now.startedAt() != old.startedAt()) {
                 unusable.add(old.id());
             }
             if (now == null || now.state() != State.READY) {
-                drainTold.putIfAbsent(old.id(), time.now());
+                drainReceivedAt.putIfAbsent(old.id(), time.now());
             }
         }
         unusable.forEach(connections::closeIdle);
-        tell(() -> module.servers(time.now(), kind, entries));
+        dispatch(() -> module.servers(time.now(), kind, entries));
     }
 
-    /** Whether the node, as started when {@code entry} was read, may be sent anything new. */
+    /** Whether the node instance in {@code entry} may receive new requests. */
     boolean ready(Server entry) {
         Server present = nodes.get(entry.id());
         return present != null && present.state() == State.READY && present.startedAt() == entry.startedAt();
     }
 
-    /** When this process was told that the node drains or has gone; never where it was not. */
-    long drainToldAt(String node) {
-        return drainTold.getOrDefault(node, Long.MAX_VALUE - Referee.DRAIN_MICROS);
+    /** When this process learned that the node drains or has gone; far in the future if it has not. */
+    long drainReceivedAt(String node) {
+        return drainReceivedAt.getOrDefault(node, Long.MAX_VALUE - InvariantChecker.DRAIN_MICROS);
     }
 
-    /** A node's process has died: its connections break. */
+    /** Breaks the connections to a node whose process has died. */
     void reset(String node) {
         if (up) {
             connections.reset(node);
         }
     }
 
-    /** Adds what its module has refused since the last look, by reason, and what it believes now. */
-    void look(Tally tally) {
+    /** Adds the requests that the module has not served since the last sample, by reason, and its current suspicions. */
+    void sample(Tally tally) {
         if (!up) {
             return;
         }
@@ -445,14 +448,14 @@
             tally.add(
                     time.now(),
                     Count.valueOf(why.name()),
-                    view.unservedByReason()[why.ordinal()] - concluded[why.ordinal()]);
+                    view.unservedByReason()[why.ordinal()] - unservedCounted[why.ordinal()]);
         }
-        concluded = view.unservedByReason().clone();
+        unservedCounted = view.unservedByReason().clone();
         tally.add(
                 time.now(),
                 Count.SUSPECTS,
                 view.servers().stream().filter(Balancer.ServerView::suspect).count());
-        if (!view.servers().isEmpty()) { // last stand the ledger's lanes
+        if (!view.servers().isEmpty()) { // the origin's lanes come last
             tally.add(
                     time.now(),
                     Count.LANE_MICROS,
--- a/src/main/java/gorsemast/emulator/Tally.java
+++ b/src/main/java/gorsemast/emulator/Tally.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 
 /**
- * Sums over the whole tier, second by second: what one process can't see. O(seconds) memory.
+ * Sums over the whole tier for each second, which no single process can see. O(seconds) memory.
  */
 public final class Tally {
-    /** What is counted. Client's ends first, then attempts, then what the tier does beside requests. */
+    /** Counters: outcomes for clients first, then attempts, then other activity of the tier. */
     public enum Count {
         ASKED,
         IN_TIME,
@@ -46,20 +46,20 @@
 
     private static final long SECOND = 1_000_000;
 
-    /** One second. */
+    /** The sums of one second. */
     public static final class Row {
         private final long[] counts = new long[Count.values().length];
         private double worth;
-        private double got;
+        private double earned;
 
-        /** How often. */
-        public long of(Count what) {
-            return counts[what.ordinal()];
+        /** Value of a counter. */
+        public long count(Count counter) {
+            return counts[counter.ordinal()];
         }
 
-        /** The part of the worth asked for in this second that was served, late answers with what they are worth. */
+        /** Share of the value requested in this second that was served; late responses count at their reduced value. */
         public double share() {
-            return worth == 0 ? 1 : got / worth;
+            return worth == 0 ? 1 : earned / worth;
         }
     }
 
@@ -70,7 +70,7 @@
         this.start = start;
     }
 
-    private Row at(long now) {
+    private Row rowAt(long now) {
         int second = (int) ((now - start) / SECOND);
         while (rows.size() <= second) {
             rows.add(new Row());
@@ -78,52 +78,52 @@
         return rows.get(second);
     }
 
-    void add(long now, Count what) {
-        add(now, what, 1);
+    void add(long now, Count counter) {
+        add(now, counter, 1);
     }
 
-    void add(long now, Count what, long many) {
-        at(now).counts[what.ordinal()] += many;
+    void add(long now, Count counter, long amount) {
+        rowAt(now).counts[counter.ordinal()] += amount;
     }
 
-    void asked(long now, double worth) {
+    void requested(long now, double worth) {
         add(now, Count.ASKED);
-        at(now).worth += worth;
+        rowAt(now).worth += worth;
     }
 
-    /** {@code asked}: when it was asked first; the worth counts there. */
-    void served(long asked, double worth) {
-        at(asked).got += worth;
+    /** {@code requested}: when the request was first made; its value counts in that second. */
+    void served(long firstAt, double worth) {
+        rowAt(firstAt).earned += worth;
     }
 
-    /** The seconds since the start. */
+    /** The sums of each second since the start. */
     public List<Row> rows() {
         return rows;
     }
 
-    /** The sum over some seconds. */
-    public long sum(Count what, int from, int to) {
+    /** Sum of a counter over a range of seconds. */
+    public long sum(Count counter, int from, int to) {
         return rows.subList(Math.min(from, rows.size()), Math.min(to, rows.size())).stream()
-                .mapToLong(row -> row.of(what))
+                .mapToLong(row -> row.count(counter))
                 .sum();
     }
 
-    /** The part of the worth asked for in these seconds that was served. */
+    /** Share of the value requested in a range of seconds that was served. */
     public double share(int from, int to) {
         double worth = 0;
         double got = 0;
         for (Row row : rows.subList(Math.min(from, rows.size()), Math.min(to, rows.size()))) {
             worth += row.worth;
-            got += row.got;
+            got += row.earned;
         }
         return worth == 0 ? 1 : got / worth;
     }
 
-    /** A table of all seconds, as Markdown; columns that are empty throughout are left out. */
+    /** Returns a Markdown table of all seconds without columns that are zero throughout. */
     public String table() {
         List<Count> shown = new ArrayList<>();
         for (Count count : Count.values()) {
-            if (rows.stream().anyMatch(row -> row.of(count) > 0)) {
+            if (rows.stream().anyMatch(row -> row.count(count) > 0)) {
                 shown.add(count);
             }
         }
@@ -135,7 +135,7 @@
         for (int i = 0; i < rows.size(); i++) {
             Row row = rows.get(i);
             s.append(String.format(Locale.ROOT, "| %d | %.2f |", i, row.share()));
-            shown.forEach(count -> s.append(' ').append(row.of(count)).append(" |"));
+            shown.forEach(count -> s.append(' ').append(row.count(count)).append(" |"));
             s.append('\n');
         }
         return s.toString();
--- a/src/main/java/gorsemast/emulator/VirtualTime.java
+++ b/src/main/java/gorsemast/emulator/VirtualTime.java
@@ -5,10 +5,10 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A clock that moves from one event to the next.
+ * Virtual clock and event queue; time advances from one event to the next.
  *
- * <p><b>Idea.</b> Discrete-event simulation: events of one instant run in the order in which they were set, so the same
- * seed gives the same run. Times in microseconds. One thread. O(log n) an event.
+ * <p>Discrete-event simulation: events of one instant run in the order in which they were scheduled, so the same seed
+ * gives the same run. Times in microseconds. Single-threaded. O(log n) per event.
  */
 public final class VirtualTime {
     private record Event(long at, long order, Runnable run) {}
@@ -18,41 +18,41 @@
     private long now;
     private long order;
 
-    /** Begins at {@code start}. */
+    /** Creates a clock that starts at {@code start}. */
     public VirtualTime(long start) {
         now = start;
     }
 
-    /** The present instant. */
+    /** Current virtual time. */
     public long now() {
         return now;
     }
 
-    /** Has it run {@code micros} from now; at once, after what is set already, where that is not positive. */
+    /** Schedules an action {@code micros} from now; if not positive, for now, after events already scheduled for now. */
     public void after(long micros, Runnable run) {
         queue.add(new Event(now + Math.max(0, micros), order++, run));
     }
 
-    /** Runs what falls due until {@code end}, which becomes the present instant. */
+    /** Runs all events due until {@code end}, which becomes the current time. */
     public void run(long end) {
         run(end, Long.MAX_VALUE, () -> false);
     }
 
-    /** The same, but ends as soon as {@code holds}, which is looked at each {@code period}; whether it held. */
-    public boolean run(long end, long period, BooleanSupplier holds) {
-        long looked = now;
+    /** Runs until {@code end} or the condition holds: {@code holds}, is checked every {@code period}. Returns whether it holds. */
+    public boolean run(long end, long checkPeriod, BooleanSupplier condition) {
+        long lastCheck = now;
         while (!queue.isEmpty() && queue.peek().at() <= end) {
             Event next = queue.poll();
             now = Math.max(now, next.at());
             next.run().run();
-            if (now - looked >= period) {
-                looked = now;
-                if (holds.getAsBoolean()) {
+            if (now - lastCheck >= checkPeriod) {
+                lastCheck = now;
+                if (condition.getAsBoolean()) {
                     return true;
                 }
             }
         }
         now = Math.max(now, end);
-        return holds.getAsBoolean();
+        return condition.getAsBoolean();
     }
 }
--- a/src/main/java/gorsemast/emulator/Workload.java
+++ b/src/main/java/gorsemast/emulator/Workload.java
@@ -6,26 +6,26 @@
 import java.util.SplittableRandom;
 
 /**
- * The clients: an open stream to each proxy, uneven over the proxies, of keys by Zipf's law; who is refused comes again.
+ * The clients: an open-loop request stream to each proxy, uneven over proxies, with Zipf-distributed keys and retries.
  *
- * <p>Each proxy has clients of its own, who go to others only once a front has noticed that it is dead. Poisson arrivals,
- * lognormal work. O(1) a request but for the draw of a key, O(log keys).
+ * <p>Each proxy has its own clients, which go to others only once the front load balancer has noticed its death. Poisson
+ * arrivals, lognormal service times. O(1) per request apart from drawing a key, O(log keys).
  */
 final class Workload {
-    /** One try of a client. */
-    static final class Ask {
+    /** One try of a client request. */
+    static final class ClientRequest {
         final String id;
         final int type;
         final int tenant;
         final String key;
-        final long took;
+        final long serviceMicros;
         final long firstAt;
         final long deadline;
         final int tries;
-        final SimulatedProxy own;
-        boolean over;
+        final SimulatedProxy homeProxy;
+        boolean finished;
 
-        Ask(
+        ClientRequest(
                 String id,
                 int type,
                 int tenant,
@@ -39,11 +39,11 @@
             this.type = type;
             this.tenant = tenant;
             this.key = key;
-            this.took = took;
+            this.serviceMicros = took;
             this.firstAt = firstAt;
             this.deadline = deadline;
             this.tries = tries;
-            this.own = own;
+            this.homeProxy = own;
         }
 
         RequestClass rules() {
@@ -51,20 +51,20 @@
         }
     }
 
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_TRIES = 3;
     private static final long BACK_OFF_MICROS = 100_000;
-    private static final double HONOURS = 0.25;
+    private static final double RETRY_AFTER_OBEYED_SHARE = 0.25;
     private static final double WORK_CV = 1;
 
     private final Cluster cluster;
     private final VirtualTime time;
     private final ClusterSettings settings;
     private final SplittableRandom random;
-    private final double[] shares;
-    private final double[] keys;
-    private final double[] zones;
-    private double factor = 1;
-    private double leave;
+    private final double[] proxyShares;
+    private final double[] cumulativeKeyWeights;
+    private final double[] zoneFactors;
+    private double loadFactor = 1;
+    private double impatientShare;
     private long sequence;
     private boolean ended;
 
@@ -73,66 +73,67 @@
         this.time = cluster.time;
         this.settings = cluster.settings;
         this.random = random;
-        shares = new double[settings.proxies()];
+        proxyShares = new double[settings.proxies()];
         double sum = 0;
-        for (int i = 0; i < shares.length; i++) {
-            shares[i] = Math.exp(settings.skew() * random.nextGaussian());
-            sum += shares[i];
+        for (int i = 0; i < proxyShares.length; i++) {
+            proxyShares[i] = Math.exp(settings.skew() * random.nextGaussian());
+            sum += proxyShares[i];
         }
-        for (int i = 0; i < shares.length; i++) {
-            shares[i] /= sum;
+        for (int i = 0; i < proxyShares.length; i++) {
+            proxyShares[i] /= sum;
         }
-        zones = new double[settings.zones()];
-        java.util.Arrays.fill(zones, 1);
-        keys = new double[settings.keys()];
+        zoneFactors = new double[settings.zones()];
+        java.util.Arrays.fill(zoneFactors, 1);
+        cumulativeKeyWeights = new double[settings.keys()];
         double total = 0;
-        for (int i = 0; i < keys.length; i++) {
+        for (int i = 0; i < cumulativeKeyWeights.length; i++) {
             total += Math.pow(i + 3, -settings.zipf());
-            keys[i] = total;
+            cumulativeKeyWeights[i] = total;
         }
     }
 
     void begin() {
-        cluster.proxies.forEach(this::next);
+        cluster.proxies.forEach(this::scheduleNext);
     }
 
-    /** No further request comes. */
+    /** Stops issuing requests. */
     void end() {
         ended = true;
     }
 
-    /** So many times the usual traffic from now on. */
-    void factor(double times) {
-        factor = times;
+    /** Multiplies the normal traffic from now on. */
+    void setLoadFactor(double times) {
+        loadFactor = times;
     }
 
-    /** So many times the usual traffic of one zone from now on. */
-    void shift(int zone, double times) {
-        zones[zone] = times;
+    /** Multiplies the normal traffic of one zone from now on. */
+    void setZoneFactor(int zone, double times) {
+        zoneFactors[zone] = times;
     }
 
-    /** Of all clients so many leave before half of their time is over, from now on. */
-    void impatient(double part) {
-        leave = part;
+    /** Sets the share of clients that leave after half of their target latency. */
+    void setImpatientShare(double share) {
+        impatientShare = share;
     }
 
-    private void next(SimulatedProxy proxy) {
-        double rate = settings.rate() * shares[proxy.number] * factor * zones[proxy.zone];
+    private void scheduleNext(SimulatedProxy proxy) {
+        double rate = settings.requestsPerSecond() * proxyShares[proxy.number] * loadFactor * zoneFactors[proxy.zone];
         time.after((long) (-Math.log(1 - random.nextDouble()) * 1e6 / rate), () -> {
             if (!ended) {
-                fresh(proxy);
-                next(proxy);
+                issueNew(proxy);
+                scheduleNext(proxy);
             }
         });
     }
 
-    private void fresh(SimulatedProxy proxy) {
+    private void issueNew(SimulatedProxy proxy) {
         double draw = random.nextDouble();
         int type = 0;
         while (type < ClusterSettings.SHARES.length - 1 && (draw -= ClusterSettings.SHARES[type]) >= 0) {
             type++;
         }
-        int at = java.util.Arrays.binarySearch(keys, random.nextDouble() * keys[keys.length - 1]);
+        int at = java.util.Arrays.binarySearch(
+                cumulativeKeyWeights, random.nextDouble() * cumulativeKeyWeights[cumulativeKeyWeights.length - 1]);
         String key = "k" + (at < 0 ? -at - 1 : at);
         double sigma = Math.sqrt(Math.log(1 + WORK_CV * WORK_CV));
         long took = (long) (settings.workMicros() * Math.exp(sigma * random.nextGaussian() - sigma * sigma / 2));
@@ -142,91 +143,101 @@
                 && (draw -= ClusterSettings.TENANTS.get(tenant).share()) >= 0) {
             tenant++;
         }
-        cluster.tally.asked(time.now(), ClusterSettings.CLASSES.get(type).importance());
-        ask(type, tenant, key, took, time.now(), 1, proxy);
+        cluster.tally.requested(time.now(), ClusterSettings.CLASSES.get(type).importance());
+        issue(type, tenant, key, took, time.now(), 1, proxy);
     }
 
-    private void ask(int type, int tenant, String key, long took, long firstAt, int tries, SimulatedProxy own) {
+    private void issue(int type, int tenant, String key, long took, long firstAt, int tries, SimulatedProxy own) {
         long deadline = time.now() + ClusterSettings.CLASSES.get(type).deadline();
-        Ask ask = new Ask("q" + sequence++, type, tenant, key, took, firstAt, deadline, tries, own);
-        SimulatedProxy to = cluster.front(own);
-        if (to == null || !to.take(ask)) {
+        ClientRequest request =
+                new ClientRequest("q" + sequence++, type, tenant, key, took, firstAt, deadline, tries, own);
+        SimulatedProxy to = cluster.routeClient(own);
+        if (to == null || !to.accept(request)) {
             cluster.tally.add(time.now(), Count.UNREACHED);
-            again(ask, 0);
+            retry(request, 0);
             return;
         }
-        if (random.nextDouble() < leave) {
-            time.after(ask.rules().targetLatency() / 2, () -> {
-                if (!ask.over) {
-                    ask.over = true;
+        if (random.nextDouble() < impatientShare) {
+            time.after(request.rules().targetLatency() / 2, () -> {
+                if (!request.finished) {
+                    request.finished = true;
                     cluster.tally.add(time.now(), Count.LEFT);
-                    to.left(ask);
-                    again(ask, 0);
+                    to.clientLeft(request);
+                    retry(request, 0);
                 }
             });
         }
-        long life = to.life();
-        time.after(deadline - time.now() + Referee.SLACK_MICROS, () -> {
-            if (!ask.over && to.life() == life) {
-                cluster.referee.unanswered(time.now(), ask.id);
-                ask.over = true;
+        long incarnation = to.incarnation();
+        time.after(deadline - time.now() + InvariantChecker.SLACK_MICROS, () -> {
+            if (!request.finished && to.incarnation() == incarnation) {
+                cluster.checker.unanswered(time.now(), request.id);
+                request.finished = true;
             }
         });
     }
 
-    void served(Ask ask) {
-        if (ended(ask)) {
-            long took = time.now() - ask.firstAt;
-            boolean inTime = took <= ask.rules().targetLatency();
+    void served(ClientRequest request) {
+        if (finish(request)) {
+            long took = time.now() - request.firstAt;
+            boolean inTime = took <= request.rules().targetLatency();
             cluster.tally.add(time.now(), inTime ? Count.IN_TIME : Count.LATE);
-            if (took <= ask.rules().deadline()) {
-                cluster.tally.served(ask.firstAt, ask.rules().importance() * (inTime ? 1 : ClusterSettings.LATE_WORTH));
+            if (took <= request.rules().deadline()) {
+                cluster.tally.served(
+                        request.firstAt, request.rules().importance() * (inTime ? 1 : ClusterSettings.LATE_WORTH));
             }
         }
     }
 
-    void refused(Ask ask, long retryAfter) {
-        if (ended(ask)) {
+    void refused(ClientRequest request, long retryAfter) {
+        if (finish(request)) {
             cluster.tally.add(time.now(), Count.REFUSED);
-            again(ask, random.nextDouble() < HONOURS ? retryAfter : 0);
+            retry(request, random.nextDouble() < RETRY_AFTER_OBEYED_SHARE ? retryAfter : 0);
         }
     }
 
-    void failed(Ask ask) {
-        if (ended(ask)) {
+    void failed(ClientRequest request) {
+        if (finish(request)) {
             cluster.tally.add(time.now(), Count.FAILED);
-            if (ask.rules().effect() == Effect.SAFE) {
-                again(ask, 0);
+            if (request.rules().effect() == Effect.SAFE) {
+                retry(request, 0);
             }
         }
     }
 
-    /** Its proxy has died under it. */
-    void orphaned(Ask ask) {
-        if (!ask.over) {
-            ask.over = true;
+    /** Handles the death of the proxy that had the request. */
+    void orphaned(ClientRequest request) {
+        if (!request.finished) {
+            request.finished = true;
             cluster.tally.add(time.now(), Count.FAILED);
-            if (ask.rules().effect() == Effect.SAFE) {
-                again(ask, 0);
+            if (request.rules().effect() == Effect.SAFE) {
+                retry(request, 0);
             }
         }
     }
 
-    private boolean ended(Ask ask) {
-        if (ask.over) {
+    private boolean finish(ClientRequest request) {
+        if (request.finished) {
             return false;
         }
-        ask.over = true;
-        cluster.referee.answered(time.now(), ask.id, ask.deadline);
+        request.finished = true;
+        cluster.checker.answered(time.now(), request.id, request.deadline);
         return true;
     }
 
-    private void again(Ask ask, long retryAfter) {
-        if (ask.tries < MOST_TRIES && time.now() - ask.firstAt < ask.rules().deadline()) {
+    private void retry(ClientRequest request, long retryAfter) {
+        if (request.tries < MAX_TRIES
+                && time.now() - request.firstAt < request.rules().deadline()) {
             time.after(Math.max(retryAfter, (long) (BACK_OFF_MICROS * (0.5 + random.nextDouble()))), () -> {
                 if (!ended) {
                     cluster.tally.add(time.now(), Count.RETRIED);
-                    ask(ask.type, ask.tenant, ask.key, ask.took, ask.firstAt, ask.tries + 1, ask.own);
+                    issue(
+                            request.type,
+                            request.tenant,
+                            request.key,
+                            request.serviceMicros,
+                            request.firstAt,
+                            request.tries + 1,
+                            request.homeProxy);
                 }
             });
         }
--- a/src/main/java/gorsemast/lab/FleetStudy.java
+++ b/src/main/java/gorsemast/lab/FleetStudy.java
@@ -9,23 +9,23 @@
 import java.util.function.ToIntFunction;
 
 /**
- * What the fleet's view costs and how soon it is right, from a few members to a thousand, with Lifeguard and without.
+ * Measures the cost and convergence time of the fleet view for up to a thousand members, with and without Lifeguard.
  *
- * <p>Each figure is from virtual time and one seed, so it comes out the same again; medians are over {@value #REPEATS}
- * seeds. Times in periods of the protocol.
+ * <p>Each figure is measured in virtual time from one seed and is therefore reproducible; medians are over
+ * {@value #REPEATS} seeds. Times in protocol periods.
  */
 public final class FleetStudy {
     private static final long PERIOD = 1_000_000;
     private static final int REPEATS = 5;
-    private static final long PATIENCE = 400 * PERIOD;
+    private static final long TIMEOUT = 400 * PERIOD;
 
     /**
-     * @param firstSuspicion periods from a crash that nobody proves to the first suspicion
+     * @param firstSuspicion periods from a crash without refusals to the first suspicion
      * @param agreed periods until all agree on it
-     * @param joined periods until all know one that has joined
-     * @param messages datagrams a member sends in a quiet period
-     * @param bytes their bytes
-     * @param falselyDead live members held dead, summed over views, in a minute with a fifth of all datagrams lost and one
+     * @param joined periods until all know a new member
+     * @param messages datagrams that a member sends per quiet period
+     * @param bytes size of those datagrams
+     * @param falselyDead live members reported dead, summed over views, in a minute with a fifth of all datagrams lost and one
      *     member in ten slow as a whole
      * @param suspicions suspicions seen at the end of each second of that minute, summed over views
      */
@@ -42,12 +42,12 @@
 
     private final ToIntFunction<Message> sizes;
 
-    /** {@code sizes} tells what a message takes on the wire, in bytes. */
+    /** Creates a study; {@code sizes} gives the size of a message on the wire in bytes. */
     public FleetStudy(ToIntFunction<Message> sizes) {
         this.sizes = sizes;
     }
 
-    /** One row for a fleet of that size. */
+    /** Measures one row for a fleet of that size. */
     public Row row(int members, boolean lifeguard) {
         FleetSettings settings =
                 lifeguard ? FleetSettings.of(PERIOD) : FleetSettings.of(PERIOD).plain();
@@ -58,7 +58,7 @@
             for (int i = 0; i < members; i++) {
                 fleet.machine(i).start(0, 1, 2);
             }
-            fleet.await(PATIENCE, VirtualFleet::agree);
+            fleet.await(TIMEOUT, VirtualFleet::agree);
             fleet.run(40 * PERIOD);
             long messages = fleet.messages();
             long bytes = fleet.bytes();
@@ -66,12 +66,12 @@
             figures[3][seed] = (fleet.messages() - messages) / 20.0 / members;
             figures[4][seed] = (fleet.bytes() - bytes) / 20.0 / members;
             fleet.machine(members).start(0, 1, 2);
-            figures[2][seed] = periods(fleet.await(PATIENCE, VirtualFleet::agree));
+            figures[2][seed] = periods(fleet.await(TIMEOUT, VirtualFleet::agree));
             fleet.machine(members).kill(true);
-            figures[0][seed] = periods(fleet.await(PATIENCE, f -> f.suspicions() > 0));
-            figures[1][seed] = figures[0][seed] + periods(fleet.await(PATIENCE, VirtualFleet::agree));
+            figures[0][seed] = periods(fleet.await(TIMEOUT, f -> f.suspicions() > 0));
+            figures[1][seed] = figures[0][seed] + periods(fleet.await(TIMEOUT, VirtualFleet::agree));
             if (members <= 300) {
-                disturbed(fleet, figures, seed);
+                measureUnderLoss(fleet, figures, seed);
             }
         }
         double[] medians = Arrays.stream(figures)
@@ -81,7 +81,7 @@
                 members, lifeguard, medians[0], medians[1], medians[2], medians[3], medians[4], medians[5], medians[6]);
     }
 
-    private static void disturbed(VirtualFleet fleet, double[][] figures, int seed) {
+    private static void measureUnderLoss(VirtualFleet fleet, double[][] figures, int seed) {
         fleet.lose(0.2, 0.05);
         for (int i = 0; i < fleet.machines().size() - 1; i += 10) {
             fleet.machine(i).slow(700_000);
@@ -102,7 +102,7 @@
         return of[of.length / 2];
     }
 
-    /** The rows for these sizes, with Lifeguard and without. */
+    /** Measures the rows for these sizes, with and without Lifeguard. */
     public List<Row> rows(List<Integer> sizes) {
         List<Row> rows = new ArrayList<>();
         for (int size : sizes) {
@@ -112,7 +112,7 @@
         return rows;
     }
 
-    /** The table, as Markdown, with how each figure grows with the fleet at its end. */
+    /** Returns a Markdown table that ends with the growth exponent of each figure. */
     public static String table(List<Row> rows) {
         StringBuilder s = new StringBuilder("| members | | first suspicion | agreed | join known | datagrams | bytes | "
                 + "falsely dead | suspicions |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
@@ -145,7 +145,7 @@
         return s.toString();
     }
 
-    /** How the times and the traffic grow with the fleet, both axes logarithmic. */
+    /** Plots the growth of times and traffic with the fleet, both axes logarithmic. */
     public static Plot plot(List<Row> rows) {
         List<Row> with = rows.stream().filter(Row::lifeguard).toList();
         double[] sizes = with.stream().mapToDouble(Row::members).toArray();
--- a/src/main/java/gorsemast/lab/PlanStudy.java
+++ b/src/main/java/gorsemast/lab/PlanStudy.java
@@ -13,17 +13,17 @@
 import java.util.SplittableRandom;
 
 /**
- * The planner of works against its baselines: how long until all works are done, what the ledger has to refill at most, and
- * what a plan costs to make, at several sizes. All but the last column comes out the same again.
+ * Compares the maintenance planner with its baselines at several sizes: time until all works are done, peak refill load on
+ * the origin, and the time to compute a plan. All columns but the last are reproducible.
  */
 public final class PlanStudy {
     private static final int ZONES = 3;
     private static final int BLOCK = 6;
-    private static final long FAILS = 2_000;
+    private static final long SOLVER_FAIL_LIMIT = 2_000;
 
     private PlanStudy() {}
 
-    /** A fleet of so many nodes in three zones, all of them wanted, for works and machines drawn from a seed. */
+    /** Returns works for every node of a fleet in three zones, with works and machines drawn from a seed. */
     public static WorksList works(int nodes, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         WorksList list = new WorksList();
@@ -66,7 +66,7 @@
         return String.format(Locale.ROOT, "n%03d", number);
     }
 
-    /** The table, as Markdown. */
+    /** Returns the comparison as a Markdown table. */
     public static String table(List<Integer> sizes, long seed) {
         StringBuilder s =
                 new StringBuilder("| nodes | order | all done after, min | most out | ledger refills at most, /s | "
@@ -76,7 +76,7 @@
                     new ListPlanner(ListPlanner.Rule.ONE_AT_A_TIME),
                     new ListPlanner(ListPlanner.Rule.FIRST_COME),
                     new ListPlanner(ListPlanner.Rule.WIDEST),
-                    new SolverPlanner(FAILS))) {
+                    new SolverPlanner(SOLVER_FAIL_LIMIT))) {
                 WorksList list = works(size, seed);
                 long begun = System.nanoTime();
                 Plan plan = planner.plan(list, 0);
--- a/src/main/java/gorsemast/lab/Plot.java
+++ b/src/main/java/gorsemast/lab/Plot.java
@@ -10,9 +10,9 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 
 /**
- * Lines over sizes, both axes logarithmic, so that a power law is a straight line. Drawn by XChart, without a screen.
+ * Line chart over sizes with logarithmic axes, so that a power law is a straight line. Drawn by XChart in headless mode.
  *
- * <p>Not thread-safe. Points that are not above 0 have no place on such an axis and are left out.
+ * <p>Not thread-safe. Points that are not above 0 cannot be shown on a logarithmic axis and are left out.
  */
 public final class Plot {
     private static final int WIDTH = 900;
@@ -21,16 +21,16 @@
     private final XYChart chart;
     private final double[] sizes;
 
-    /** An empty plot over these sizes. */
-    public Plot(String title, String across, String up, double[] sizes) {
+    /** Creates an empty plot over these sizes. */
+    public Plot(String title, String xTitle, String yTitle, double[] sizes) {
         System.setProperty("java.awt.headless", "true");
         this.sizes = sizes.clone();
         chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
                 .title(title)
-                .xAxisTitle(across)
-                .yAxisTitle(up)
+                .xAxisTitle(xTitle)
+                .yAxisTitle(yTitle)
                 .build();
         chart.getStyler()
                 .setXAxisLogarithmic(true)
@@ -38,7 +38,7 @@
                 .setLegendPosition(LegendPosition.OutsideS);
     }
 
-    /** Another line: a value for each size. */
+    /** Adds a line with a value for each size. */
     public Plot line(String name, double[] values) {
         int[] drawn = java.util.stream.IntStream.range(0, sizes.length)
                 .filter(i -> values[i] > 0)
@@ -52,8 +52,8 @@
         return this;
     }
 
-    /** Writes it as SVG to that file, over what is there. */
-    public void svg(Path file) throws IOException {
+    /** Writes the plot as SVG, overwriting the file. */
+    public void writeSvg(Path file) throws IOException {
         VectorGraphicsEncoder.saveVectorGraphic(chart, file.toString(), VectorGraphicsFormat.SVG);
     }
 }
--- a/src/main/java/gorsemast/lab/VirtualFleet.java
+++ b/src/main/java/gorsemast/lab/VirtualFleet.java
@@ -16,16 +16,16 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Any number of {@link Fleet}s in virtual time, on a network that loses, delays, doubles, reorders and cuts.
+ * Any number of {@link Fleet}s in virtual time, on a network that loses, delays, duplicates, reorders and partitions.
  *
- * <p><b>Idea.</b> Deterministic simulation from one seed: the same seed gives the same run, to the message. Each machine
+ * <p>Deterministic simulation from one seed: the same seed gives the same run, to the message. Each machine
  * has one address; a process on it can be killed (its machine then refuses), stopped and continued, restarted under a
  * higher generation, or made slow as a whole, so that all that it does comes late.
  *
  * <p>Times in microseconds. One thread. O(messages under way) memory.
  */
 public final class VirtualFleet {
-    /** What becomes of one datagram. */
+    /** What happens to one datagram. */
     public enum Fate {
         ARRIVES,
         LOST,
@@ -33,16 +33,16 @@
         LATE
     }
 
-    /** One machine with the process that runs there, if any does. */
+    /** One machine and its process, if one is running. */
     public final class Machine {
         private final int number;
         private Fleet fleet;
         private boolean running;
         private boolean stopped;
-        private boolean dark;
+        private boolean machineGone;
         private int starts;
-        private long slow;
-        private long life;
+        private long delayMicros;
+        private long incarnation;
 
         private Machine(int number) {
             this.number = number;
@@ -56,28 +56,28 @@
             return running;
         }
 
-        /** Starts a process here that knows these machines' addresses. */
+        /** Starts a process with these machines as seeds. */
         public void start(int... seeds) {
             running = true;
             stopped = false;
-            long mine = ++life;
+            long mine = ++incarnation;
             ProcessId id = new ProcessId("p" + number, ProcessId.generation(now() / 1_000 + clockStep, ++starts));
             fleet = new Fleet(settings, id, address(), random.nextLong(), new Fleet.Actions() {
                 @Override
                 public void send(String address, Message message) {
-                    if (life == mine) {
-                        post(Machine.this, address, message);
+                    if (incarnation == mine) {
+                        transmit(Machine.this, address, message);
                     }
                 }
 
                 @Override
                 public void inquire(String address) {
-                    Machine asked = at(address);
-                    if (asked != null
-                            && !asked.running
-                            && !asked.dark
-                            && !cut(Machine.this, asked)
-                            && !cut(asked, Machine.this)) {
+                    Machine target = at(address);
+                    if (target != null
+                            && !target.running
+                            && !target.machineGone
+                            && !cut(Machine.this, target)
+                            && !cut(target, Machine.this)) {
                         after(delay() * 2, () -> ifRunning(mine, () -> fleet.refused(now(), address)));
                     }
                 }
@@ -98,7 +98,7 @@
             after(random.nextLong(settings.step()), () -> step(mine));
         }
 
-        /** The clock that the next start takes its generation from, set back or forward by so many milliseconds. */
+        /** Shifts the clock from which the next start takes its generation, in milliseconds. */
         public void clock(long millis) {
             clockStep = millis;
         }
@@ -106,29 +106,29 @@
         private long clockStep;
 
         private void step(long mine) {
-            if (life != mine || !running) {
+            if (incarnation != mine || !running) {
                 return;
             }
             if (!stopped) {
                 fleet.step(now());
             }
-            after(settings.step() + slow, () -> step(mine));
+            after(settings.step() + delayMicros, () -> step(mine));
         }
 
         private void ifRunning(long mine, Runnable what) {
-            if (life == mine && running && !stopped) {
+            if (incarnation == mine && running && !stopped) {
                 what.run();
             }
         }
 
-        /** Ends it with no word; its machine refuses from now on unless it is {@code dark}, gone with it. */
+        /** Ends it with no word; its machine refuses from now on unless it is {@code machineGone}, gone with it. */
         public void kill(boolean alsoMachine) {
             running = false;
-            dark = alsoMachine;
-            life++;
+            machineGone = alsoMachine;
+            incarnation++;
         }
 
-        /** Ends it in good order. */
+        /** Shuts the process down gracefully. */
         public void leave() {
             fleet.leave(now());
             kill(false);
@@ -138,9 +138,9 @@
             stopped = stop;
         }
 
-        /** Each step and each datagram takes so much longer. */
+        /** Delays each step and each datagram. */
         public void slow(long micros) {
-            slow = micros;
+            delayMicros = micros;
         }
 
         public Fleet fleet() {
@@ -161,26 +161,26 @@
     private final List<String> lines = new ArrayList<>();
     private final ToIntFunction<Message> sizes;
     private double loss;
-    private double doubled;
+    private double duplication;
     private long latency = 500;
-    private long spread = 500;
+    private long jitter = 500;
     private BiPredicate<Integer, Integer> cut = (from, to) -> false;
-    private LongFunction<Fate> fates;
+    private LongFunction<Fate> chosenFates;
     private long messages;
     private long bytes;
-    private long largest;
+    private long largestMessage;
 
     /** So many machines with nothing on them; {@code sizes} tells what a message takes, in bytes. */
-    public VirtualFleet(int many, FleetSettings settings, long seed, ToIntFunction<Message> sizes) {
+    public VirtualFleet(int machineCount, FleetSettings settings, long seed, ToIntFunction<Message> sizes) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
         this.sizes = sizes;
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < machineCount; i++) {
             machines.add(new Machine(i));
         }
     }
 
-    /** Starts a process on each, with the first three as seeds. */
+    /** Starts a process on each machine, with the first three as seeds. */
     public VirtualFleet startAll() {
         for (Machine machine : machines) {
             machine.start(0, Math.min(1, machines.size() - 1), Math.min(2, machines.size() - 1));
@@ -200,21 +200,21 @@
         return time.now();
     }
 
-    /** What the processes have logged. */
+    /** Log lines of all processes. */
     public List<String> lines() {
         return lines;
     }
 
-    /** The part of all datagrams that is lost, and that comes twice, from now on. */
+    /** Sets the shares of datagrams that are lost and duplicated. */
     public void lose(double lost, double twice) {
         loss = lost;
-        doubled = twice;
+        duplication = twice;
     }
 
-    /** The least a datagram takes one way, and what is drawn on top of that. */
+    /** Sets the minimum one-way delay and the random delay added to it. */
     public void delays(long least, long drawn) {
         latency = least;
-        spread = Math.max(1, drawn);
+        jitter = Math.max(1, drawn);
     }
 
     /**
@@ -222,15 +222,15 @@
      * through all that may happen. Late is three periods late.
      */
     public void fates(LongFunction<Fate> chosen) {
-        fates = chosen;
+        chosenFates = chosen;
     }
 
-    /** Nothing passes from one machine to another where this says so. */
+    /** Cuts the directed links for which the predicate holds. */
     public void cut(BiPredicate<Integer, Integer> fromTo) {
         cut = fromTo;
     }
 
-    /** Cuts the fleet into groups: a machine reaches those of its own. */
+    /** Partitions the fleet into groups; a machine reaches only its own group. */
     public void split(ToIntFunction<Integer> group) {
         cut = (from, to) -> group.applyAsInt(from) != group.applyAsInt(to);
     }
@@ -244,7 +244,7 @@
     }
 
     private long delay() {
-        return latency + random.nextLong(spread);
+        return latency + random.nextLong(jitter);
     }
 
     private Machine at(String address) {
@@ -256,35 +256,37 @@
         time.after(micros, run);
     }
 
-    private void post(Machine from, String address, Message message) {
+    private void transmit(Machine from, String address, Message message) {
         messages++;
         int size = sizes.applyAsInt(message);
         bytes += size;
-        largest = Math.max(largest, size);
+        largestMessage = Math.max(largestMessage, size);
         Machine to = at(address);
-        Fate fate = fates != null
-                ? fates.apply(messages - 1)
-                : random.nextDouble() < loss ? Fate.LOST : random.nextDouble() < doubled ? Fate.TWICE : Fate.ARRIVES;
+        Fate fate = chosenFates != null
+                ? chosenFates.apply(messages - 1)
+                : random.nextDouble() < loss
+                        ? Fate.LOST
+                        : random.nextDouble() < duplication ? Fate.TWICE : Fate.ARRIVES;
         int copies = fate == Fate.LOST ? 0 : fate == Fate.TWICE ? 2 : 1;
         for (int i = 0; i < copies; i++) {
-            after(delay() + from.slow + (fate == Fate.LATE ? LATE_PERIODS * settings.period() : 0), () -> {
+            after(delay() + from.delayMicros + (fate == Fate.LATE ? LATE_PERIODS * settings.period() : 0), () -> {
                 if (to != null && !cut(from, to)) {
-                    arrive(to, from.address(), message);
+                    deliver(to, from.address(), message);
                 }
             });
         }
     }
 
-    private void arrive(Machine to, String from, Message message) {
+    private void deliver(Machine to, String from, Message message) {
         if (!to.running) {
             return;
         }
-        if (to.stopped || to.slow > 0 && random.nextInt(2) == 0) {
-            // The system keeps it for the process, which reads it when it runs again.
-            long life = to.life;
-            after(Math.max(settings.step(), to.slow), () -> {
-                if (to.life == life) {
-                    arrive(to, from, message);
+        if (to.stopped || to.delayMicros > 0 && random.nextInt(2) == 0) {
+            // The operating system buffers the datagram until the process runs again.
+            long life = to.incarnation;
+            after(Math.max(settings.step(), to.delayMicros), () -> {
+                if (to.incarnation == life) {
+                    deliver(to, from, message);
                 }
             });
             return;
@@ -292,7 +294,7 @@
         to.fleet.received(now(), from, message);
     }
 
-    /** Runs for so long. */
+    /** Runs for a duration. */
     public void run(long micros) {
         until(now() + micros, all -> false);
     }
@@ -330,7 +332,7 @@
         return agree(number -> true);
     }
 
-    /** How often a running process held another running one dead, over all views now. */
+    /** Current number of running processes reported dead by running processes, over all views. */
     public int falselyDead() {
         int sum = 0;
         for (Machine machine : machines) {
@@ -349,7 +351,7 @@
         return sum;
     }
 
-    /** How many suspicions there are now, over all views. */
+    /** Current number of suspicions over all views. */
     public int suspicions() {
         int sum = 0;
         for (Machine machine : machines) {
@@ -367,13 +369,13 @@
         return messages;
     }
 
-    /** Their bytes. */
+    /** Bytes of all datagrams sent. */
     public long bytes() {
         return bytes;
     }
 
-    /** The largest of them, in bytes. */
+    /** Size of the largest datagram in bytes. */
     public long largest() {
-        return largest;
+        return largestMessage;
     }
 }
--- a/src/main/java/gorsemast/rig/Clients.java
+++ b/src/main/java/gorsemast/rig/Clients.java
@@ -16,19 +16,19 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Clients of the fleet: each asks one request at a time of a proxy that runs, a read or a top-up, and writes down how it
- * ended. Bounded in number and pace.
+ * Clients of the fleet: each sends one request at a time, a read or a top-up, to a running proxy and records its outcome.
+ * Bounded in number and rate.
  */
 final class Clients {
     static final int DEADLINE_MILLIS = 3_000;
-    /** An answer may be read so long after its time on a busy machine. */
+    /** Additional time for reading a response on a busy machine. */
     private static final int SLACK_MILLIS = 2_000;
 
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
-    private static final int TOPUP_EACH = 4;
+    private static final int REQUESTS_PER_TOPUP = 4;
 
-    /** How a request ended, as its client saw it. */
-    enum End {
+    /** Outcome of a request as its client observed it. */
+    enum Outcome {
         SERVED,
         REFUSED,
         FAILED,
@@ -38,20 +38,20 @@
     }
 
     /**
-     * @param proxy whom it was asked of
-     * @param from when, in nanoseconds
-     * @param until when its end was seen
+     * @param proxy number of the proxy that received the request
+     * @param from start in nanoseconds
+     * @param until when its outcome was observed
      */
-    record Asked(String id, boolean write, int proxy, long from, long until, End end) {}
+    record RequestRecord(String id, boolean write, int proxy, long from, long until, Outcome outcome) {}
 
     private final Proxies proxies;
     private final List<Thread> threads = new ArrayList<>();
-    final Queue<Asked> asked = new ConcurrentLinkedQueue<>();
-    private volatile boolean over;
+    final Queue<RequestRecord> records = new ConcurrentLinkedQueue<>();
+    private volatile boolean stopping;
 
-    Clients(Proxies proxies, int many, long seed) {
+    Clients(Proxies proxies, int count, long seed) {
         this.proxies = proxies;
-        for (int i = 0; i < many; i++) {
+        for (int i = 0; i < count; i++) {
             SplittableRandom random = new SplittableRandom(seed + i);
             String prefix = Long.toHexString(random.nextLong()) + "-";
             Thread thread = new Thread(() -> run(prefix, random), "client-" + i);
@@ -62,25 +62,25 @@
     }
 
     private void run(String prefix, SplittableRandom random) {
-        for (int i = 0; !over; i++) {
+        for (int i = 0; !stopping; i++) {
             List<Proxies.Proxy> running =
-                    proxies.all.stream().filter(Proxies.Proxy::takes).toList();
+                    proxies.all.stream().filter(Proxies.Proxy::acceptsClients).toList();
             if (!running.isEmpty()) {
                 Proxies.Proxy proxy = running.get(random.nextInt(running.size()));
-                boolean write = i % TOPUP_EACH == 0;
+                boolean write = i % REQUESTS_PER_TOPUP == 0;
                 String id = prefix + i;
                 long from = System.nanoTime();
-                End end = ask(proxy, id, write);
-                asked.add(new Asked(id, write, proxy.number, from, System.nanoTime(), end));
+                Outcome outcome = send(proxy, id, write);
+                records.add(new RequestRecord(id, write, proxy.number, from, System.nanoTime(), outcome));
             }
             LockSupport.parkNanos(PAUSE_NANOS);
         }
     }
 
-    private static End ask(Proxies.Proxy proxy, String id, boolean write) {
-        boolean whole = false;
+    private static Outcome send(Proxies.Proxy proxy, String id, boolean write) {
+        boolean requestWritten = false;
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.clients), 1_000);
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.clientPort), 1_000);
             socket.setSoTimeout(DEADLINE_MILLIS + SLACK_MILLIS);
             String body = write ? "+5" : "";
             String text = (write ? "PUT" : "GET") + " /api/card-" + Math.floorMod(id.hashCode(), 64)
@@ -91,26 +91,26 @@
                     + (write ? "Idempotency-Key: " + id + "\r\nContent-Length: " + body.length() + "\r\n" : "") + "\r\n"
                     + body;
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-            whole = true;
+            requestWritten = true;
             InputStream in = new BufferedInputStream(socket.getInputStream());
             String answer = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
             if (!answer.startsWith("HTTP/1.1 ") || !answer.contains("\r\n\r\n")) {
-                return End.CUT;
+                return Outcome.CUT;
             }
             int status = Integer.parseInt(answer.substring(9, 12));
             return status == 200
-                    ? answer.endsWith("of " + id) ? End.SERVED : End.CUT
-                    : status == 503 || status == 429 ? End.REFUSED : End.FAILED;
+                    ? answer.endsWith("of " + id) ? Outcome.SERVED : Outcome.CUT
+                    : status == 503 || status == 429 ? Outcome.REFUSED : Outcome.FAILED;
         } catch (java.net.SocketTimeoutException e) {
-            return whole ? End.SILENT : End.UNREACHED;
+            return requestWritten ? Outcome.SILENT : Outcome.UNREACHED;
         } catch (IOException e) {
-            return whole ? End.CUT : End.UNREACHED;
+            return requestWritten ? Outcome.CUT : Outcome.UNREACHED;
         }
     }
 
-    /** No further request; returns when those in hand have ended. */
-    void end() throws InterruptedException {
-        over = true;
+    /** Stops issuing requests and waits for those in flight. */
+    void stop() throws InterruptedException {
+        stopping = true;
         for (Thread thread : threads) {
             thread.join(TimeUnit.SECONDS.toMillis(10));
         }
--- a/src/main/java/gorsemast/rig/Herd.java
+++ b/src/main/java/gorsemast/rig/Herd.java
@@ -14,34 +14,34 @@
 import java.util.function.Consumer;
 
 /**
- * A herd: seven in ten processes are killed at once under load while half of the cache nodes are replaced, and come back
- * with the list of before to a register that has more callers than it can serve. What it is worth that the others have
- * the list is the difference between two such plays, one with the fleet's view and one without.
+ * Thundering-herd experiment: seven of ten processes are killed at once under load while half of the cache nodes are
+ * replaced. They restart with the old list and call a discovery service that is overloaded. The difference between a run
+ * with the fleet view and one without shows the benefit of obtaining the list from other processes.
  *
- * <p>Waits on conditions, each bounded. Blocks.
+ * <p>Blocks; every wait for a condition is bounded.
  */
 public final class Herd {
-    /** Of ten processes so many are killed. */
-    private static final int KILLED_OF_TEN = 7;
+    /** Processes killed out of every ten. */
+    private static final int KILLED_PER_TEN = 7;
 
     private static final int NODES = 12;
-    private static final int DEAD = 6;
-    /** One more than die, so that who knows the new list can be told by its size. */
-    private static final int FRESH = 7;
+    private static final int NODES_KILLED = 6;
+    /** One more than are killed, so that the size of the list shows which list a process has. */
+    private static final int NODES_ADDED = 7;
 
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
     private static final int PATIENCE_SECONDS = 60;
-    /** So many requests a process are served before anything is done to them. */
-    private static final int SERVED_BEFORE = 8;
+    /** Requests served per process before the kill. */
+    private static final int SERVED_PER_PROCESS_BEFORE = 8;
 
     /**
-     * What it came to.
+     * Result of a run.
      *
-     * @param served share of the requests begun in the window from the kill on that were served
-     * @param listedMillis from the kill until each that was killed knew the new list, in order; fewer where some never did
-     * @param listCalls calls that the register had in the window
-     * @param mostAtFresh the most requests that a fresh node had within a second
+     * @param served served share of the requests that began in the window after the kill
+     * @param listedMillis time from the kill until each killed process knew the new list, sorted; shorter if some never did
+     * @param listCalls calls to the discovery service in the window
+     * @param mostAtFresh largest number of requests to a new node within a second
      */
     public record Result(
             boolean peers,
@@ -54,7 +54,7 @@
             int listCalls,
             long mostAtFresh,
             List<String> findings) {
-        /** One line for people. */
+        /** Returns a one-line summary. */
         public String line() {
             return String.format(
                     Locale.ROOT,
@@ -78,120 +78,122 @@
     private final int processes;
     private final long seed;
     private final int seconds;
-    private final long registerMillis;
+    private final long discoveryMillis;
     private final Path home;
     private final Consumer<String> out;
     private boolean untilListed;
 
     /**
-     * @param seconds the window from the kill on
-     * @param registerMillis what the register takes for a list while the herd is there
-     * @param home a folder for the processes' files and logs
+     * @param seconds length of the window after the kill
+     * @param discoveryMillis time that the discovery service needs for a list after the kill
+     * @param home folder for the files and logs of the processes
      */
-    public Herd(int processes, long seed, int seconds, long registerMillis, Path home, Consumer<String> out) {
+    public Herd(int processes, long seed, int seconds, long discoveryMillis, Path home, Consumer<String> out) {
         this.processes = processes;
         this.seed = seed;
         this.seconds = seconds;
-        this.registerMillis = registerMillis;
+        this.discoveryMillis = discoveryMillis;
         this.home = home;
         this.out = out;
     }
 
-    /** Ends the window as soon as all know the new list; for whoever asks whether and not how well. */
+    /** Ends the window as soon as all killed processes know the new list; for tests that need no measurement. */
     public Herd untilListed() {
         untilListed = true;
         return this;
     }
 
-    /** Plays it once. */
-    public Result play(boolean peers) throws IOException, InterruptedException {
+    /** Runs the experiment once, with or without the fleet view. */
+    public Result run(boolean peers) throws IOException, InterruptedException {
         try (Relay relay = new Relay(seed);
                 StandIns stands = new StandIns(NODES);
                 Proxies proxies = new Proxies(processes, home.resolve(peers ? "with" : "without"), relay, stands)) {
             Thread ended = new Thread(proxies::close);
             Runtime.getRuntime().addShutdownHook(ended);
             try {
-                return play(peers, stands, proxies);
+                return runProcesses(peers, stands, proxies);
             } finally {
                 Runtime.getRuntime().removeShutdownHook(ended);
             }
         }
     }
 
-    private Result play(boolean peers, StandIns stands, Proxies proxies) throws IOException, InterruptedException {
+    private Result runProcesses(boolean peers, StandIns standIns, Proxies proxies)
+            throws IOException, InterruptedException {
         for (Proxies.Proxy proxy : proxies.all) {
             proxy.peers = peers;
             proxy.start();
         }
-        await(() -> proxies.all.stream().allMatch(Proxies.Proxy::ready), "not all are ready");
+        await(() -> proxies.all.stream().allMatch(Proxies.Proxy::ready), "not all processes are ready");
         out.accept("all " + processes + " are ready");
         Clients clients = new Clients(proxies, Math.min(32, 2 * processes), seed);
         await(
-                () -> clients.asked.stream()
-                                .filter(asked -> asked.end() == Clients.End.SERVED)
+                () -> clients.records.stream()
+                                .filter(asked -> asked.outcome() == Clients.Outcome.SERVED)
                                 .count()
-                        >= SERVED_BEFORE * (long) processes,
-                "not enough is served before the kill");
-        String old = stands.list();
+                        >= SERVED_PER_PROCESS_BEFORE * (long) processes,
+                "too few requests served before the kill");
+        String old = standIns.listDocument();
         List<Proxies.Proxy> killed = proxies.all.stream()
-                .filter(proxy -> proxy.number % 10 < KILLED_OF_TEN)
+                .filter(proxy -> proxy.number % 10 < KILLED_PER_TEN)
                 .toList();
-        Queue<Referee.Blow> blows = new ConcurrentLinkedQueue<>();
-        stands.registerMillis = registerMillis;
-        int callsBefore = stands.listCalls.get();
-        long begun = System.nanoTime();
+        Queue<RunChecker.ProcessFault> faults = new ConcurrentLinkedQueue<>();
+        standIns.discoveryMillis = discoveryMillis;
+        int callsBefore = standIns.listCalls.get();
+        long killedAt = System.nanoTime();
         for (Proxies.Proxy proxy : killed) {
-            blows.add(new Referee.Blow(proxy.number, System.nanoTime()));
+            faults.add(new RunChecker.ProcessFault(proxy.number, System.nanoTime()));
             proxy.kill(false);
-            proxy.known = old;
+            proxy.startList = old;
         }
-        stands.replace(DEAD, FRESH);
+        standIns.replace(NODES_KILLED, NODES_ADDED);
         for (Proxies.Proxy proxy : killed) {
             proxy.start();
         }
         Map<Integer, Long> listed = new HashMap<>();
-        String wanted = "cache_nodes_known:" + stands.size() + "|";
-        long end = begun + TimeUnit.SECONDS.toNanos(seconds);
+        String expectedCounter = "cache_nodes_known:" + standIns.size() + "|";
+        long end = killedAt + TimeUnit.SECONDS.toNanos(seconds);
         while (System.nanoTime() < end && !(untilListed && listed.size() == killed.size())) {
             for (Proxies.Proxy proxy : killed) {
-                if (!listed.containsKey(proxy.number) && proxy.call("counters").contains(wanted)) {
-                    listed.put(proxy.number, (System.nanoTime() - begun) / 1_000_000);
+                if (!listed.containsKey(proxy.number)
+                        && proxy.adminCall("counters").contains(expectedCounter)) {
+                    listed.put(proxy.number, (System.nanoTime() - killedAt) / 1_000_000);
                 }
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_NANOS);
         }
-        int calls = stands.listCalls.get() - callsBefore;
-        clients.end();
-        List<Clients.Asked> window = clients.asked.stream()
-                .filter(asked -> asked.from() >= begun && asked.from() < end)
+        int calls = standIns.listCalls.get() - callsBefore;
+        clients.stop();
+        List<Clients.RequestRecord> window = clients.records.stream()
+                .filter(asked -> asked.from() >= killedAt && asked.from() < end)
                 .toList();
         long served = window.stream()
-                .filter(asked -> asked.end() == Clients.End.SERVED)
+                .filter(asked -> asked.outcome() == Clients.Outcome.SERVED)
                 .count();
         Map<String, Integer> runs = new HashMap<>();
-        stands.runs.forEach((id, many) -> runs.put(id, many.get()));
-        Referee.Judgement judged = Referee.judge(clients.asked, runs, blows, GRACE_NANOS);
+        standIns.runs.forEach((id, many) -> runs.put(id, many.get()));
+        RunChecker.Verdict verdict = RunChecker.check(clients.records, runs, faults, GRACE_NANOS);
         List<Long> times = new ArrayList<>(listed.values());
         times.sort(null);
         return new Result(
                 peers,
                 window.isEmpty() ? 0 : (double) served / window.size(),
                 window.size(),
-                judged.lost(),
-                judged.twice(),
+                verdict.lost(),
+                verdict.twice(),
                 times,
                 killed.size(),
                 calls,
-                stands.mostAtFreshInASecond(),
-                judged.findings());
+                standIns.maxRequestsPerSecondAtNewNode(),
+                verdict.findings());
     }
 
-    private static void await(java.util.function.BooleanSupplier holds, String wrong) throws IOException {
-        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS); !holds.getAsBoolean(); ) {
+    private static void await(java.util.function.BooleanSupplier condition, String failure) throws IOException {
+        for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS); !condition.getAsBoolean(); ) {
             if (System.nanoTime() > end) {
-                throw new IOException(wrong + " after " + PATIENCE_SECONDS + " s");
+                throw new IOException(failure + " after " + PATIENCE_SECONDS + " s");
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_NANOS);
         }
     }
 }
--- a/src/main/java/gorsemast/rig/Proxies.java
+++ b/src/main/java/gorsemast/rig/Proxies.java
@@ -16,34 +16,34 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** The processes of the rig: how each is started, stopped, killed and asked. */
+/** Starts, stops, kills and queries the processes of the rig. */
 final class Proxies implements AutoCloseable {
-    /** Below where systems hand out ports by themselves, so that a port that is free stays so until it is bound. */
-    private static final int LEAST_PORT = 15_000;
+    /** Below the ephemeral port range, so that a free port stays free until it is bound. */
+    private static final int MIN_PORT = 15_000;
 
-    private static final int PORTS = 16_000;
-    /** New connections go on coming for so long after SIGTERM, as on the platform. */
-    private static final long FRONT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final int PORT_COUNT = 16_000;
+    /** Time for which new connections still arrive after SIGTERM, as on the platform. */
+    private static final long DRAIN_VISIBLE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
     private static final int PERIOD_MILLIS = 300;
 
-    /** One process and the machine that it runs on, so to speak. */
+    /** One process and its simulated machine. */
     final class Proxy {
         final int number;
         final String name;
-        final int clients = port();
-        final int admin = port();
-        final int datagrams = port();
+        final int clientPort = freePort();
+        final int adminPort = freePort();
+        final int datagramPort = freePort();
         volatile Process process;
         volatile boolean stopped;
-        /** The machine has gone with it, and refuses nothing. */
-        volatile boolean dark;
-        /** It has been told to end, long enough ago for a front to have seen it. */
+        /** The machine has disappeared with the process and refuses nothing. */
+        volatile boolean machineGone;
+        /** It received SIGTERM long enough ago for a load balancer to have noticed. */
         volatile boolean leaving;
-        /** Whether it sees the others. */
+        /** Whether it takes part in the fleet view. */
         volatile boolean peers = true;
-        /** The list that it is started with, in the register's form; null for the present one. */
-        volatile String known;
+        /** The list it starts with, in the format of the discovery service; null for the current one. */
+        volatile String startList;
 
         private int starts;
 
@@ -52,24 +52,24 @@
             this.name = "p" + number;
         }
 
-        /** Whether there is a process that runs, or stands still. */
-        boolean exists() {
+        /** Whether the process exists, running or suspended. */
+        boolean alive() {
             return process != null && process.isAlive();
         }
 
         boolean running() {
-            return exists() && !stopped;
+            return alive() && !stopped;
         }
 
-        /** Whether clients are led there. */
-        boolean takes() {
+        /** Whether clients are sent to it. */
+        boolean acceptsClients() {
             return running() && !leaving;
         }
 
         void start() throws IOException {
             Path folder = Files.createDirectories(home.resolve(name + "-" + starts++));
             InetSocketAddress front =
-                    relay.open(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), datagrams));
+                    relay.open(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), datagramPort));
             Files.writeString(folder.resolve("config.json"), config());
             Files.writeString(folder.resolve("gorsemast.json5"), settings(front));
             List<String> command = new ArrayList<>(List.of(
@@ -92,7 +92,7 @@
                     .put("PROXY_CONFIG", folder.resolve("config.json").toString());
             builder.environment().put("TMPDIR", folder.toString());
             stopped = false;
-            dark = false;
+            machineGone = false;
             leaving = false;
             process = builder.start();
         }
@@ -101,9 +101,9 @@
             return home.resolve(name + ".log");
         }
 
-        /** SIGKILL; returns when it is over. */
+        /** Sends SIGKILL and waits for the process to end. */
         void kill(boolean machine) throws IOException, InterruptedException {
-            dark = machine;
+            machineGone = machine;
             if (!machine) {
                 relay.refuse(name);
             }
@@ -111,13 +111,13 @@
             stopped = false;
         }
 
-        /** SIGTERM; returns when it is over. */
+        /** Sends SIGTERM and waits for the process to end. */
         void leave() throws IOException, InterruptedException {
             process.destroy();
-            LockSupport.parkNanos(FRONT_NANOS);
+            LockSupport.parkNanos(DRAIN_VISIBLE_NANOS);
             leaving = true;
             if (!process.waitFor(20, TimeUnit.SECONDS)) {
-                throw new IOException(name + " does not end");
+                throw new IOException(name + " did not exit within 20 s after SIGTERM");
             }
             relay.refuse(name);
         }
@@ -129,20 +129,21 @@
                     .waitFor();
         }
 
-        /** What it believes; null where it does not answer. */
+        /** Its fleet view; null if it does not answer. */
         JsonNode view() {
             try {
-                String answer = AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), admin), "fleet");
+                String answer =
+                        AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), "fleet");
                 return answer.startsWith("200 ") ? JSON.readTree(answer.substring(4)) : null;
             } catch (IOException e) {
                 return null;
             }
         }
 
-        /** What it answers to a call at its second address; empty where it does not answer. */
-        String call(String line) {
+        /** Its response to an admin call; empty if it does not answer. */
+        String adminCall(String line) {
             try {
-                return AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), admin), line);
+                return AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), line);
             } catch (IOException e) {
                 return "";
             }
@@ -150,7 +151,7 @@
 
         boolean ready() {
             try {
-                return AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), admin), "health")
+                return AdminCall.ask(new InetSocketAddress(InetAddress.getLoopbackAddress(), adminPort), "health")
                         .startsWith("200");
             } catch (IOException e) {
                 return false;
@@ -172,11 +173,11 @@
                 """
                     .formatted(
                             name,
-                            clients,
-                            admin,
-                            stands.register(),
+                            clientPort,
+                            adminPort,
+                            standIns.discoveryAddress(),
                             number * 7919L + starts,
-                            known == null ? stands.list() : known,
+                            startList == null ? standIns.listDocument() : startList,
                             all.size(),
                             Clients.DEADLINE_MILLIS,
                             Clients.DEADLINE_MILLIS);
@@ -209,14 +210,14 @@
                   },
                 }
                 """
-                    .formatted(datagrams, front.getPort(), seeds, PERIOD_MILLIS);
+                    .formatted(datagramPort, front.getPort(), seeds, PERIOD_MILLIS);
         }
     }
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private final Path home;
     private final Relay relay;
-    private final StandIns stands;
+    private final StandIns standIns;
     private final SplittableRandom random = new SplittableRandom(System.nanoTime());
     private final Map<String, InetSocketAddress> fronts = new java.util.concurrent.ConcurrentHashMap<>();
     final List<Proxy> all = new ArrayList<>();
@@ -224,29 +225,30 @@
     Proxies(int many, Path home, Relay relay, StandIns stands) throws IOException {
         this.home = home;
         this.relay = relay;
-        this.stands = stands;
+        this.standIns = stands;
         for (int i = 0; i < many; i++) {
             all.add(new Proxy(i));
         }
-        for (Proxy proxy : all) { // all fronts first: each process is told of the seeds' ones
+        for (Proxy proxy : all) { // open all fronts first: each process needs those of the seeds
             fronts.put(
                     proxy.name,
-                    relay.open(proxy.name, new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.datagrams)));
+                    relay.open(
+                            proxy.name, new InetSocketAddress(InetAddress.getLoopbackAddress(), proxy.datagramPort)));
         }
     }
 
-    private int port() throws IOException {
+    private int freePort() throws IOException {
         for (int i = 0; i < 200; i++) {
-            int port = LEAST_PORT + random.nextInt(PORTS);
+            int port = MIN_PORT + random.nextInt(PORT_COUNT);
             if (taken.add(port)) {
                 try (ServerSocket free = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                     return free.getLocalPort();
                 } catch (IOException e) {
-                    // somebody has it
+                    // the port is in use
                 }
             }
         }
-        throw new IOException("no free port between " + LEAST_PORT + " and " + (LEAST_PORT + PORTS));
+        throw new IOException("no free port between " + MIN_PORT + " and " + (MIN_PORT + PORT_COUNT));
     }
 
     private final java.util.Set<Integer> taken = new java.util.HashSet<>();
--- a/src/main/java/gorsemast/rig/Relay.java
+++ b/src/main/java/gorsemast/rig/Relay.java
@@ -17,33 +17,33 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Every datagram between two processes, and what goes wrong on its way.
+ * Relays every datagram between two processes and applies link faults.
  *
- * <p><b>Idea.</b> Each process is known to the others by an address here, its front. What it sends arrives at the
- * other's front, is told apart by whom it comes from, suffers what that link suffers, and goes on from the sender's own
- * front: so each sees the others at the addresses that all speak of. The front of a dead process whose machine is well
- * is closed, and the system refuses for it; the front of a machine that has gone is open and silent.
+ * <p>Each process is known to the others by a relay address, its front. A datagram arrives at the receiver's front, is
+ * assigned to a link by its source address, is subjected to that link's faults and is forwarded from the sender's own front,
+ * so that all processes see each other at their advertised addresses. The front of a dead process on a healthy machine is
+ * closed, so that the operating system refuses for it; the front of a machine that has disappeared stays open and silent.
  *
- * <p>One thread; commands from any. Bounds: {@value #MOST_WAITING} datagrams under way, the rest is lost.
+ * <p>Forwards on one thread; methods may be called from any. At most {@value #MOST_WAITING} datagrams are delayed at a time; any beyond that are dropped.
  */
 final class Relay implements AutoCloseable {
-    private static final int MOST_WAITING = 100_000;
-    private static final int MOST_BYTES = 65_536;
+    private static final int MAX_DELAYED = 100_000;
+    private static final int MAX_DATAGRAM_BYTES = 65_536;
 
-    /** What a link does to what passes in one direction. */
-    record Link(boolean cut, double loss, double doubled, long delayMicros, long spreadMicros) {
+    /** Faults of a link in one direction. */
+    record Link(boolean cut, double loss, double duplication, long delayMicros, long jitterMicros) {
         static final Link GOOD = new Link(false, 0, 0, 0, 0);
     }
 
-    private record Waiting(long at, long order, String to, String from, byte[] bytes) {}
+    private record Delayed(long at, long order, String to, String from, byte[] bytes) {}
 
     private final Selector selector = Selector.open();
     private final Map<String, DatagramChannel> fronts = new ConcurrentHashMap<>();
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
-    private final Map<String, InetSocketAddress> real = new ConcurrentHashMap<>();
+    private final Map<String, InetSocketAddress> processAddresses = new ConcurrentHashMap<>();
     private final Map<String, Link> links = new ConcurrentHashMap<>();
-    private final PriorityQueue<Waiting> waiting =
-            new PriorityQueue<>(Comparator.comparingLong(Waiting::at).thenComparingLong(Waiting::order));
+    private final PriorityQueue<Delayed> delayed =
+            new PriorityQueue<>(Comparator.comparingLong(Delayed::at).thenComparingLong(Delayed::order));
     private final SplittableRandom random;
     private final Thread thread;
     private volatile boolean closed;
@@ -56,9 +56,9 @@
         thread.start();
     }
 
-    /** The front of a process that listens at {@code process}; the same front again after a restart. */
+    /** Opens the front of a process that listens at {@code process}; the address is the same after a restart. */
     synchronized InetSocketAddress open(String name, InetSocketAddress process) throws IOException {
-        real.put(name, process);
+        processAddresses.put(name, process);
         if (!fronts.containsKey(name)) {
             InetSocketAddress at =
                     addresses.getOrDefault(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -74,16 +74,16 @@
         return addresses.get(name);
     }
 
-    /** From now on the system refuses for this process. */
+    /** Closes the front of a process, so that the operating system refuses for it. */
     synchronized void refuse(String name) throws IOException {
         DatagramChannel front = fronts.remove(name);
         if (front != null) {
             front.close();
-            selector.wakeup(); // the channel is only let go by the next look
+            selector.wakeup(); // the selector releases the channel only at its next select
         }
     }
 
-    /** Exchanges the addresses of two dead processes: what restarts takes the other's. */
+    /** Exchanges the addresses of two dead processes before their restart. */
     synchronized void swap(String one, String other) throws IOException {
         refuse(one);
         refuse(other);
@@ -101,30 +101,31 @@
     }
 
     private void run() {
-        ByteBuffer buffer = ByteBuffer.allocate(MOST_BYTES);
-        Map<InetSocketAddress, String> known = new HashMap<>();
+        ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+        Map<InetSocketAddress, String> senderNames = new HashMap<>();
         while (!closed) {
             try {
-                long next = waiting.isEmpty()
+                long next = delayed.isEmpty()
                         ? 50
                         : Math.max(
-                                1, TimeUnit.NANOSECONDS.toMillis(waiting.peek().at() - System.nanoTime()));
+                                1, TimeUnit.NANOSECONDS.toMillis(delayed.peek().at() - System.nanoTime()));
                 selector.select(Math.min(50, next));
                 for (SelectionKey key : selector.selectedKeys()) {
-                    receive(key, buffer, known);
+                    receive(key, buffer, senderNames);
                 }
                 selector.selectedKeys().clear();
                 for (long now = System.nanoTime();
-                        !waiting.isEmpty() && waiting.peek().at() <= now; ) {
-                    forward(waiting.poll());
+                        !delayed.isEmpty() && delayed.peek().at() <= now; ) {
+                    forward(delayed.poll());
                 }
             } catch (IOException | RuntimeException e) {
-                // a front was closed under the look, or all of it
+                // a front, or the whole relay, was closed during select
             }
         }
     }
 
-    private void receive(SelectionKey key, ByteBuffer buffer, Map<InetSocketAddress, String> known) throws IOException {
+    private void receive(SelectionKey key, ByteBuffer buffer, Map<InetSocketAddress, String> senderNames)
+            throws IOException {
         if (!key.isValid()) {
             return;
         }
@@ -136,43 +137,43 @@
             try {
                 sender = (InetSocketAddress) front.receive(buffer);
             } catch (IOException e) {
-                return; // an answer of the system to a datagram that was sent before
+                return; // an ICMP error for an earlier datagram
             }
             if (sender == null) {
                 return;
             }
-            String from = known.get(sender);
-            if (from == null || !sender.equals(real.get(from))) {
-                known.clear();
-                real.forEach((name, address) -> known.put(address, name));
-                from = known.get(sender);
+            String from = senderNames.get(sender);
+            if (from == null || !sender.equals(processAddresses.get(from))) {
+                senderNames.clear();
+                processAddresses.forEach((name, address) -> senderNames.put(address, name));
+                from = senderNames.get(sender);
             }
             Link link = from == null ? null : links.getOrDefault(from + ">" + to, Link.GOOD);
-            if (link == null || link.cut() || random.nextDouble() < link.loss() || waiting.size() >= MOST_WAITING) {
-                continue; // an inquiry from a socket of its own, or lost
+            if (link == null || link.cut() || random.nextDouble() < link.loss() || delayed.size() >= MAX_DELAYED) {
+                continue; // a probe from a separate socket, or lost
             }
             buffer.flip();
             byte[] bytes = new byte[buffer.remaining()];
             buffer.get(bytes);
-            int copies = random.nextDouble() < link.doubled() ? 2 : 1;
+            int copies = random.nextDouble() < link.duplication() ? 2 : 1;
             for (int copy = 0; copy < copies; copy++) {
-                long delay = link.delayMicros() + (link.spreadMicros() == 0 ? 0 : random.nextLong(link.spreadMicros()));
-                Waiting one = new Waiting(System.nanoTime() + delay * 1_000, order++, to, from, bytes);
+                long delay = link.delayMicros() + (link.jitterMicros() == 0 ? 0 : random.nextLong(link.jitterMicros()));
+                Delayed datagram = new Delayed(System.nanoTime() + delay * 1_000, order++, to, from, bytes);
                 if (delay == 0) {
-                    forward(one);
+                    forward(datagram);
                 } else {
-                    waiting.add(one);
+                    delayed.add(datagram);
                 }
             }
         }
     }
 
-    private void forward(Waiting one) {
-        DatagramChannel front = fronts.get(one.from());
-        InetSocketAddress process = real.get(one.to());
-        if (front != null && process != null && fronts.containsKey(one.to())) {
+    private void forward(Delayed datagram) {
+        DatagramChannel front = fronts.get(datagram.from());
+        InetSocketAddress process = processAddresses.get(datagram.to());
+        if (front != null && process != null && fronts.containsKey(datagram.to())) {
             try {
-                front.send(ByteBuffer.wrap(one.bytes()), process);
+                front.send(ByteBuffer.wrap(datagram.bytes()), process);
             } catch (IOException e) {
                 return; // lost
             }
