--- a/src/main/java/gorsemast/rig/Rig.java
+++ b/src/main/java/gorsemast/rig/Rig.java
@@ -1,10 +1,10 @@
 package gorsemast.rig;
 
 import com.fasterxml.jackson.databind.JsonNode;
-import gorsemast.rig.Clients.Asked;
-import gorsemast.rig.Day.Event;
-import gorsemast.rig.Day.Kind;
-import gorsemast.rig.Referee.Blow;
+import gorsemast.rig.Clients.RequestRecord;
+import gorsemast.rig.RunChecker.ProcessFault;
+import gorsemast.rig.Scenario.Event;
+import gorsemast.rig.Scenario.Kind;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -30,145 +30,146 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a day: starts the processes, does to them what the day says, waits after each event until all that can reach each
- * other see the same, watches that nobody live is called dead meanwhile, and has the {@link Referee} judge the rest.
+ * Runs a scenario: starts the processes, applies each event, waits until all processes that can reach each other have the
+ * same view, checks meanwhile that no live process is reported dead, and has the {@link RunChecker} check the requests.
  *
- * <p>Waits on conditions, each within a stated bound; says nothing of speed. Blocks.
+ * <p>Blocks; every wait for a condition is bounded. Measures no performance.
  */
 public final class Rig implements AutoCloseable {
-    /** How long a view may take to settle after a fault, in seconds: some 100 of the rig's periods, for slow machines. */
-    public static final int SETTLES_WITHIN_SECONDS = 45;
-    /** What the rig itself keeps from settling need not be waited for so long. */
-    private static final int PLANTED_WITHIN_SECONDS = 5;
-    /** So long a settled view is watched, and so long where links are bad and nobody may be called dead. */
+    /** Time limit for a view to settle after a fault: about 100 protocol periods of the rig, to allow for slow machines. */
+    public static final int SETTLE_TIMEOUT_SECONDS = 45;
+    /** Shorter limit for a view that an injected defect keeps from settling. */
+    private static final int INJECTED_SETTLE_TIMEOUT_SECONDS = 5;
+    /** How long a settled view is watched; the longer one applies while links are degraded and no process may be reported dead. */
     private static final long WATCH_MILLIS = 600;
 
-    private static final long WATCH_BAD_MILLIS = 4_000;
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
+    private static final long WATCH_DEGRADED_MILLIS = 4_000;
+    private static final long POLL_NANOS = TimeUnit.MILLISECONDS.toNanos(40);
     private static final int NODES = 4;
     private static final Relay.Link LOSSY = new Relay.Link(false, 0.2, 0.1, 500, 30_000);
     private static final long GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** What a day came to. */
+    /** Result of a run. */
     public record Result(
             int settled,
             int faults,
             long lost,
             long twice,
-            long falsely,
+            long falseDeaths,
             Map<String, Long> counts,
             List<String> findings) {
-        /** Whether all held. */
+        /** Whether every check passed. */
         public boolean holds() {
-            return settled == faults && lost == 0 && twice == 0 && falsely == 0;
+            return settled == faults && lost == 0 && twice == 0 && falseDeaths == 0;
         }
 
-        /** The rig's last line. */
+        /** Returns the last output line of a run. */
         public String line() {
-            return "settled " + settled + " of " + faults + " lost " + lost + " twice " + twice + " false " + falsely;
+            return "settled " + settled + " of " + faults + " lost " + lost + " twice " + twice + " false "
+                    + falseDeaths;
         }
     }
 
-    private final Day day;
-    private final String plant;
+    private final Scenario scenario;
+    private final String injectedDefect;
     private final Consumer<String> out;
     private final Relay relay;
-    private final StandIns stands = new StandIns(NODES);
+    private final StandIns standIns = new StandIns(NODES);
     private final Proxies proxies;
-    private final Queue<Blow> blows = new ConcurrentLinkedQueue<>();
+    private final Queue<ProcessFault> processFaults = new ConcurrentLinkedQueue<>();
     private final List<String> findings = new ArrayList<>();
     private int groups = 1;
-    private long falsely;
+    private long falseDeaths;
 
     /**
-     * @param plant {@code twice}, {@code lost} or {@code unsettled} has the rig do that wrong itself, once; else empty
-     * @param home a folder for the processes' files and logs
+     * @param injectedDefect {@code twice}, {@code lost} or {@code unsettled} makes the rig cause that violation itself, once; else empty
+     * @param home folder for the files and logs of the processes
      */
-    public Rig(Day day, String plant, Path home, Consumer<String> out) throws IOException {
-        this.day = day;
-        this.plant = plant;
+    public Rig(Scenario scenario, String injectedDefect, Path home, Consumer<String> out) throws IOException {
+        this.scenario = scenario;
+        this.injectedDefect = injectedDefect;
         this.out = out;
-        this.relay = new Relay(day.seed());
-        this.proxies = new Proxies(day.processes(), home, relay, stands);
+        this.relay = new Relay(scenario.seed());
+        this.proxies = new Proxies(scenario.processes(), home, relay, standIns);
     }
 
-    /** Plays it; no event begins when so many seconds are over. */
-    public Result play(int seconds) throws IOException, InterruptedException {
-        long begun = System.nanoTime();
+    /** Runs the scenario; no event begins after {@code seconds}. */
+    public Result run(int seconds) throws IOException, InterruptedException {
+        long startedAt = System.nanoTime();
         for (Proxies.Proxy proxy : proxies.all) {
             proxy.start();
         }
-        int settled = settle("all start", begun) ? 1 : 0;
+        int settled = settle("all start", startedAt) ? 1 : 0;
         int faults = 1;
-        Referee.Judgement judgement;
-        Clients clients = new Clients(proxies, Math.min(16, 2 * day.processes()), day.seed());
+        RunChecker.Verdict verdict;
+        Clients clients = new Clients(proxies, Math.min(16, 2 * scenario.processes()), scenario.seed());
         long playing = System.nanoTime();
         try {
-            for (Event event : day.events()) {
+            for (Event event : scenario.events()) {
                 if (System.nanoTime() - playing > TimeUnit.SECONDS.toNanos(seconds)) {
                     break;
                 }
                 faults++;
-                settled += settle(event.toString(), act(event)) ? 1 : 0;
+                settled += settle(event.toString(), apply(event)) ? 1 : 0;
             }
-            plant(clients);
+            injectDefect(clients);
         } finally {
-            clients.end();
+            clients.stop();
         }
         Map<String, Integer> runs = new HashMap<>();
-        stands.runs.forEach((id, many) -> runs.put(id, many.get()));
-        judgement = Referee.judge(clients.asked, runs, blows, GRACE_NANOS);
-        findings.addAll(judgement.findings());
-        out.accept("requests " + judgement.asked() + " served " + judgement.served() + " refused " + judgement.refused()
-                + " failed " + judgement.failed() + " unreached " + judgement.unreached() + " orphaned "
-                + judgement.orphaned());
+        standIns.runs.forEach((id, many) -> runs.put(id, many.get()));
+        verdict = RunChecker.check(clients.records, runs, processFaults, GRACE_NANOS);
+        findings.addAll(verdict.findings());
+        out.accept("requests " + verdict.asked() + " served " + verdict.served() + " refused " + verdict.refused()
+                + " failed " + verdict.failed() + " unreached " + verdict.unreached() + " orphaned "
+                + verdict.orphaned());
         return new Result(
                 settled,
                 faults,
-                judgement.lost(),
-                judgement.twice(),
-                falsely,
+                verdict.lost(),
+                verdict.twice(),
+                falseDeaths,
                 Map.of(
                         "asked",
-                        judgement.asked(),
+                        verdict.asked(),
                         "served",
-                        judgement.served(),
+                        verdict.served(),
                         "orphaned",
-                        judgement.orphaned(),
+                        verdict.orphaned(),
                         "unreached",
-                        judgement.unreached()),
+                        verdict.unreached()),
                 findings);
     }
 
-    /** Does what the event says; returns when. */
-    private long act(Event event) throws IOException, InterruptedException {
+    /** Applies an event and returns when it began. */
+    private long apply(Event event) throws IOException, InterruptedException {
         long at = System.nanoTime();
         switch (event.kind()) {
             case KILL, VANISH -> {
                 for (int who : event.who()) {
-                    blow(who);
+                    recordFault(who);
                     proxies.all.get(who).kill(event.kind() == Kind.VANISH);
-                    blow(who); // a busy machine ends it later than it was told to
+                    recordFault(who); // on a busy machine the process ends later than the signal
                 }
             }
             case RESTART -> start(event.who());
             case RESTART_ALL -> {
                 List<Integer> running = proxies.all.stream()
-                        .filter(Proxies.Proxy::exists)
+                        .filter(Proxies.Proxy::alive)
                         .map(p -> p.number)
                         .toList();
                 for (int who : running) {
-                    blow(who);
+                    recordFault(who);
                     proxies.all.get(who).kill(false);
-                    blow(who);
+                    recordFault(who);
                 }
                 start(running);
             }
             case STOP, CONTINUE -> {
                 for (int who : event.who()) {
-                    blow(who);
+                    recordFault(who);
                     proxies.all.get(who).signal(event.kind() == Kind.STOP ? "STOP" : "CONT");
-                    blow(who);
+                    recordFault(who);
                 }
             }
             case LEAVE -> {
@@ -200,14 +201,14 @@
             default -> {
                 groups = 1;
                 relay.heal();
-                if (plant.equals("unsettled")) {
+                if (injectedDefect.equals("unsettled")) {
                     proxies.all.forEach(to -> relay.link("p0", to.name, new Relay.Link(true, 0, 0, 0, 0)));
                     proxies.all.forEach(from -> relay.link(from.name, "p0", new Relay.Link(true, 0, 0, 0, 0)));
                 }
             }
         }
         if (event.kind() == Kind.ONE_WAY || event.kind() == Kind.LOSSY) {
-            watch(WATCH_BAD_MILLIS);
+            watch(WATCH_DEGRADED_MILLIS);
         }
         return at;
     }
@@ -218,32 +219,32 @@
         }
     }
 
-    private void blow(int who) {
-        blows.add(new Blow(who, System.nanoTime()));
+    private void recordFault(int who) {
+        processFaults.add(new ProcessFault(who, System.nanoTime()));
     }
 
-    /** Waits until all that can reach each other see exactly each other, and watches that for a while. */
-    private boolean settle(String what, long since) throws InterruptedException {
-        boolean planted = plant.equals("unsettled") && what.equals("heal");
-        long end =
-                System.nanoTime() + TimeUnit.SECONDS.toNanos(planted ? PLANTED_WITHIN_SECONDS : SETTLES_WITHIN_SECONDS);
-        String why = disagreement();
-        while (why != null && System.nanoTime() < end) {
-            LockSupport.parkNanos(LOOK_NANOS);
-            why = disagreement();
+    /** Waits until each process sees exactly those it can reach, then watches the view for a while. */
+    private boolean settle(String event, long since) throws InterruptedException {
+        boolean keptUnsettled = injectedDefect.equals("unsettled") && event.equals("heal");
+        long end = System.nanoTime()
+                + TimeUnit.SECONDS.toNanos(keptUnsettled ? INJECTED_SETTLE_TIMEOUT_SECONDS : SETTLE_TIMEOUT_SECONDS);
+        String reason = disagreement();
+        while (reason != null && System.nanoTime() < end) {
+            LockSupport.parkNanos(POLL_NANOS);
+            reason = disagreement();
         }
         long took = (System.nanoTime() - since) / 1_000_000;
-        if (why != null) {
-            findings.add("unsettled after " + what + ": " + why);
-            out.accept(what + ": NOT settled after " + took + " ms: " + why);
+        if (reason != null) {
+            findings.add("unsettled after " + event + ": " + reason);
+            out.accept(event + ": NOT settled after " + took + " ms: " + reason);
             return false;
         }
-        out.accept(what + ": settled after " + took + " ms");
+        out.accept(event + ": settled after " + took + " ms");
         watch(WATCH_MILLIS);
         return true;
     }
 
-    /** Null where each that runs sees exactly those that run and that it can reach. */
+    /** Returns null if each running process sees exactly the running processes it can reach, else a reason. */
     private String disagreement() {
         Map<Integer, String> digests = new HashMap<>();
         for (Proxies.Proxy viewer : proxies.all) {
@@ -289,7 +290,7 @@
         return one.number % groups == other.number % groups;
     }
 
-    /** Whoever runs and can be reached must not be called dead now. */
+    /** Checks for a while that no running, reachable process is reported dead. */
     private void watch(long millis) {
         long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
         TreeSet<String> seen = new TreeSet<>();
@@ -310,47 +311,53 @@
                             && reaches(viewer, other)
                             && !live.contains(other.name)
                             && seen.add(viewer.name + " calls " + other.name + " dead")) {
-                        falsely++;
+                        falseDeaths++;
                         findings.add("false: " + viewer.name + " calls " + other.name + " dead: " + view);
                     }
                 }
             }
-            LockSupport.parkNanos(LOOK_NANOS);
+            LockSupport.parkNanos(POLL_NANOS);
         }
     }
 
-    /** Does a wrong thing itself, so that anyone can see it found. */
-    private void plant(Clients clients) throws IOException, InterruptedException {
-        if (plant.equals("twice")) {
+    /** Causes a violation itself, to show that it is detected. */
+    private void injectDefect(Clients clients) throws IOException, InterruptedException {
+        if (injectedDefect.equals("twice")) {
             HttpClient client = HttpClient.newHttpClient();
             for (int i = 0; i < 2; i++) {
                 client.send(
-                        HttpRequest.newBuilder(URI.create("http://" + stands.node()))
+                        HttpRequest.newBuilder(URI.create("http://" + standIns.nodeAddress()))
                                 .header("X-Correlation-Id", "planted")
                                 .PUT(HttpRequest.BodyPublishers.ofString("+5"))
                                 .build(),
                         HttpResponse.BodyHandlers.discarding());
             }
-            clients.asked.add(new Asked("planted", true, 0, System.nanoTime(), System.nanoTime(), Clients.End.SERVED));
-        } else if (plant.equals("lost")) {
-            try (ServerSocket hole = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                    Socket client = new Socket(hole.getInetAddress(), hole.getLocalPort());
-                    Socket taken = hole.accept()) {
+            clients.records.add(new RequestRecord(
+                    "planted", true, 0, System.nanoTime(), System.nanoTime(), Clients.Outcome.SERVED));
+        } else if (injectedDefect.equals("lost")) {
+            try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                    Socket client = new Socket(listener.getInetAddress(), listener.getLocalPort());
+                    Socket accepted = listener.accept()) {
                 long from = System.nanoTime();
                 OutputStream to = client.getOutputStream();
                 to.write("GET /api/card HTTP/1.1\r\nX-Correlation-Id: planted\r\n\r\n"
                         .getBytes(StandardCharsets.US_ASCII));
-                InputStream in = taken.getInputStream();
+                InputStream in = accepted.getInputStream();
                 in.readNBytes(16);
-                taken.shutdownOutput(); // taken, and no answer
+                accepted.shutdownOutput(); // accepted, but no response
                 int end = client.getInputStream().read();
-                clients.asked.add(new Asked(
-                        "planted", false, 0, from, System.nanoTime(), end < 0 ? Clients.End.CUT : Clients.End.SERVED));
+                clients.records.add(new RequestRecord(
+                        "planted",
+                        false,
+                        0,
+                        from,
+                        System.nanoTime(),
+                        end < 0 ? Clients.Outcome.CUT : Clients.Outcome.SERVED));
             }
         }
     }
 
-    /** Ends the processes at once; for whoever ends before the day does. */
+    /** Kills the processes at once; for an exit before the run has ended. */
     public void endProcesses() {
         proxies.close();
     }
@@ -359,6 +366,6 @@
     public void close() throws IOException {
         proxies.close();
         relay.close();
-        stands.close();
+        standIns.close();
     }
 }
--- a/src/main/java/gorsemast/rig/Day.java
+++ b/src/main/java/gorsemast/rig/Scenario.java
@@ -15,47 +15,47 @@
 import java.util.TreeSet;
 
 /**
- * What happens on a day of the rig: faults one after another, each given time to settle. Drawn from a seed, or read from
- * the file that an earlier day was written to.
+ * A fault scenario of the rig: faults one after another, each with time to settle. Drawn from a seed, or read from the
+ * file of an earlier scenario.
  *
- * @param processes 2 to 24
+ * @param processes number of processes, 2 to 24
  */
 @JsonInclude(JsonInclude.Include.NON_DEFAULT)
-public record Day(int processes, long seed, List<Event> events) {
-    /** The most processes that one machine is asked for. */
-    public static final int MOST = 24;
+public record Scenario(int processes, long seed, List<Event> events) {
+    /** Largest number of processes that the rig starts on one machine. */
+    public static final int MAX_PROCESSES = 24;
 
-    /** What can happen. */
+    /** Kinds of events. */
     public enum Kind {
-        /** The processes named end with no word; their machines refuse for them. */
+        /** Kills the named processes; their machines refuse their packets. */
         KILL,
-        /** The machines of those named go silent with their processes. */
+        /** Makes the named processes disappear with their machines, which stay silent. */
         VANISH,
-        /** Those named, dead so far, start again under their names with a list from before. */
+        /** Restarts the named dead processes under their names with an older list. */
         RESTART,
-        /** All that run are killed and start again. */
+        /** Kills and restarts all running processes. */
         RESTART_ALL,
-        /** Those named stand still. */
+        /** Suspends the named processes. */
         STOP,
-        /** And run on. */
+        /** Resumes the named processes. */
         CONTINUE,
-        /** Those named end in good order. */
+        /** Shuts the named processes down gracefully. */
         LEAVE,
-        /** Two dead ones start again, each at the other's address. */
+        /** Restarts two dead processes, each at the other's address. */
         SWAP,
-        /** The fleet falls into {@code groups} that don't reach each other. */
+        /** Partitions the fleet into {@code groups}. */
         CUT,
-        /** Nothing passes from the first named to the second; the other way is well. */
+        /** Drops everything from the first named to the second; the other direction works. */
         ONE_WAY,
-        /** All links lose, double, delay and reorder. */
+        /** All links lose, duplicate, delay and reorder datagrams. */
         LOSSY,
-        /** All links are well again. */
+        /** Restores all links. */
         HEAL
     }
 
     /**
-     * @param who numbers of processes
-     * @param groups for {@link Kind#CUT}: into how many parts
+     * @param who numbers of the affected processes
+     * @param groups number of partitions for {@link Kind#CUT}
      */
     @JsonInclude(JsonInclude.Include.NON_DEFAULT)
     public record Event(Kind kind, List<Integer> who, int groups) {
@@ -75,15 +75,15 @@
         }
     }
 
-    public Day {
+    public Scenario {
         events = List.copyOf(events);
-        if (processes < 2 || processes > MOST) {
-            throw new IllegalArgumentException("processes is " + processes + "; between 2 and " + MOST);
+        if (processes < 2 || processes > MAX_PROCESSES) {
+            throw new IllegalArgumentException("processes is " + processes + "; between 2 and " + MAX_PROCESSES);
         }
         for (Event event : events) {
             if (event.who().stream().anyMatch(who -> who < 0 || who >= processes)) {
                 throw new IllegalArgumentException(
-                        event + " names a process that the day has not; 0 to " + (processes - 1));
+                        event + " names an unknown process; expected 0 to " + (processes - 1));
             }
             if (event.kind() == Kind.CUT && (event.groups() < 2 || event.groups() > processes)) {
                 throw new IllegalArgumentException(event + ": groups is " + event.groups() + "; 2 to " + processes);
@@ -91,21 +91,21 @@
         }
     }
 
-    /** The day of each direction's proof: every failure that the view is for, one after another. */
-    public static Day every(int processes, long seed) {
-        List<Integer> most = new ArrayList<>();
+    /** Returns the scenario with every failure that the fleet view must handle, one after another. */
+    public static Scenario ofEveryFault(int processes, long seed) {
+        List<Integer> allButTwo = new ArrayList<>();
         for (int i = 2; i < processes; i++) {
-            most.add(i);
+            allButTwo.add(i);
         }
         int last = processes - 1;
-        return new Day(
+        return new Scenario(
                 processes,
                 seed,
                 List.of(
                         Event.of(Kind.KILL, 1),
                         Event.of(Kind.RESTART, 1),
-                        new Event(Kind.KILL, most, 0),
-                        new Event(Kind.RESTART, most, 0),
+                        new Event(Kind.KILL, allButTwo, 0),
+                        new Event(Kind.RESTART, allButTwo, 0),
                         new Event(Kind.CUT, List.of(), 2),
                         Event.of(Kind.HEAL),
                         new Event(Kind.CUT, List.of(), 3),
@@ -123,8 +123,8 @@
                         Event.of(Kind.RESTART_ALL)));
     }
 
-    /** A day drawn from a seed, with so many events. */
-    public static Day draw(int processes, long seed, int events) {
+    /** Draws a scenario with a number of events from a seed. */
+    public static Scenario draw(int processes, long seed, int events) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Event> drawn = new ArrayList<>();
         TreeSet<Integer> dead = new TreeSet<>();
@@ -199,7 +199,7 @@
                 }
             }
         }
-        return new Day(processes, seed, drawn);
+        return new Scenario(processes, seed, drawn);
     }
 
     private static void shuffle(List<Integer> list, SplittableRandom random) {
@@ -214,15 +214,15 @@
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
-    /** Writes it down, to be played again. */
+    /** Writes the scenario to a file for a later run. */
     public void write(Path file) throws IOException {
         mapper().writeValue(file.toFile(), this);
     }
 
-    /** Reads a day; what is wrong with it is one plain line. */
-    public static Day read(Path file) throws IOException {
+    /** Reads a scenario; an invalid file gives a one-line message. */
+    public static Scenario read(Path file) throws IOException {
         try {
-            return mapper().readValue(Files.readString(file), Day.class);
+            return mapper().readValue(Files.readString(file), Scenario.class);
         } catch (JsonProcessingException e) {
             String at = e.getLocation() == null
                     ? ""
--- a/src/main/java/gorsemast/rig/StandIns.java
+++ b/src/main/java/gorsemast/rig/StandIns.java
@@ -18,92 +18,92 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Cache nodes before one ledger, and the register that lists them: small, on loopback, and they write down each run of
- * each write, which is what the referee judges from.
+ * Stand-in cache nodes with one origin, and the discovery service that lists them, on loopback. They record each
+ * execution of each write for the {@link RunChecker}.
  */
 final class StandIns implements AutoCloseable {
     private static final String LIST = "/registry/instances";
 
-    /** One cache node: its name, and when each request came to it. */
+    /** One cache node, with the arrival times of its requests. */
     private static final class Node {
         final String name;
         final HttpServer server;
-        final long bornMillis;
+        final long startedMillis;
         final Queue<Long> requests = new ConcurrentLinkedQueue<>();
 
         Node(String name, HttpServer server, long bornMillis) {
             this.name = name;
             this.server = server;
-            this.bornMillis = bornMillis;
+            this.startedMillis = bornMillis;
         }
     }
 
-    /** The nodes in service; changed under this object's monitor together with {@link #version}. */
+    /** Nodes in service; changed under this object's monitor together with {@link #version}. */
     private final List<Node> nodes = new CopyOnWriteArrayList<>();
 
-    private int named;
+    private int nodesCreated;
     private long version = 1;
-    private final HttpServer register;
+    private final HttpServer discovery;
     private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(task, "stand-in");
         thread.setDaemon(true);
         return thread;
     });
-    /** How often each write has run at the ledger, by its request's id. */
+    /** Number of executions of each write at the origin, by request id. */
     final Map<String, AtomicInteger> runs = new ConcurrentHashMap<>();
 
     private volatile boolean closed;
-    /** The register turns every call away. */
-    volatile boolean registerDown;
-    /** The register takes so long for each list, one call after another. */
-    volatile long registerMillis;
+    /** Whether the discovery service rejects every call. */
+    volatile boolean discoveryDown;
+    /** Time that the discovery service needs for each list; calls are served one after another. */
+    volatile long discoveryMillis;
 
-    private final Object desk = new Object();
-    /** How many calls the register has had. */
+    private final Object discoveryLock = new Object();
+    /** Number of calls to the discovery service. */
     final AtomicInteger listCalls = new AtomicInteger();
 
-    StandIns(int many) throws IOException {
+    StandIns(int nodeCount) throws IOException {
         InetAddress host = InetAddress.getLoopbackAddress();
-        for (int i = 0; i < many; i++) {
-            add(0);
+        for (int i = 0; i < nodeCount; i++) {
+            startNode(0);
         }
-        register = HttpServer.create(new InetSocketAddress(host, 0), 256);
-        register.createContext(LIST, this::list);
-        register.setExecutor(threads);
-        register.start();
+        discovery = HttpServer.create(new InetSocketAddress(host, 0), 256);
+        discovery.createContext(LIST, this::serveList);
+        discovery.setExecutor(threads);
+        discovery.start();
     }
 
-    String register() {
-        return "127.0.0.1:" + register.getAddress().getPort();
+    String discoveryAddress() {
+        return "127.0.0.1:" + discovery.getAddress().getPort();
     }
 
-    private void add(long bornMillis) throws IOException {
+    private void startNode(long bornMillis) throws IOException {
         HttpServer server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 256);
-        Node node = new Node("c" + named++, server, bornMillis);
+        Node node = new Node("c" + nodesCreated++, server, bornMillis);
         server.createContext("/", exchange -> node(node, exchange));
         server.setExecutor(threads);
         server.start();
         nodes.add(node);
     }
 
-    /** So many nodes die at once and so many new ones come; the register knows it at once. */
-    synchronized void replace(int dead, int fresh) throws IOException {
-        for (int i = 0; i < dead; i++) {
+    /** Stops some nodes and starts new ones; the discovery service lists the change at once. */
+    synchronized void replace(int removed, int added) throws IOException {
+        for (int i = 0; i < removed; i++) {
             Node node = nodes.remove(0);
             node.server.stop(0);
         }
-        for (int i = 0; i < fresh; i++) {
-            add(System.currentTimeMillis());
+        for (int i = 0; i < added; i++) {
+            startNode(System.currentTimeMillis());
         }
         version++;
         notifyAll();
     }
 
-    /** The most requests that a node which has started since then had within a second, of all such nodes. */
-    long mostAtFreshInASecond() {
+    /** Largest number of requests within a second at any node started by {@link #replace}. */
+    long maxRequestsPerSecondAtNewNode() {
         long most = 0;
         for (Node node : nodes) {
-            List<Long> at = node.bornMillis == 0 ? List.of() : new ArrayList<>(node.requests);
+            List<Long> at = node.startedMillis == 0 ? List.of() : new ArrayList<>(node.requests);
             for (int from = 0, to = 0; to < at.size(); to++) {
                 while (at.get(to) - at.get(from) > 1_000_000_000L) {
                     from++;
@@ -114,29 +114,29 @@
         return most;
     }
 
-    /** How many nodes are in service. */
+    /** Number of nodes in service. */
     int size() {
         return nodes.size();
     }
 
-    /** The address of one cache node. */
-    String node() {
+    /** Address of one cache node. */
+    String nodeAddress() {
         return "127.0.0.1:" + nodes.get(0).server.getAddress().getPort();
     }
 
-    /** The list as the register tells it. */
-    synchronized String list() {
+    /** The list in the format of the discovery service. */
+    synchronized String listDocument() {
         return list(true, nodes);
     }
 
-    private String list(boolean whole, List<Node> told) {
+    private String list(boolean whole, List<Node> reported) {
         StringBuilder s = new StringBuilder("{\"seq\":")
                 .append(version)
                 .append(",\"whole\":")
                 .append(whole)
                 .append(",\"hosts\":[");
         String comma = "";
-        for (Node node : told) {
+        for (Node node : reported) {
             s.append(comma)
                     .append("{\"host\":\"")
                     .append(node.name)
@@ -144,7 +144,7 @@
                     .append(node.server.getAddress().getPort())
                     .append("\",\"site\":\"a\",\"class\":\"m\",\"block\":0,\"health\":\"Ready\"")
                     .append(",\"share\":1.0,\"born_ms\":")
-                    .append(node.bornMillis)
+                    .append(node.startedMillis)
                     .append('}');
             comma = ",";
         }
@@ -165,10 +165,10 @@
         }
     }
 
-    private void list(HttpExchange exchange) throws IOException {
+    private void serveList(HttpExchange exchange) throws IOException {
         try (exchange) {
             listCalls.incrementAndGet();
-            if (registerDown) {
+            if (discoveryDown) {
                 exchange.sendResponseHeaders(503, -1);
                 return;
             }
@@ -191,10 +191,10 @@
                     return;
                 }
             }
-            synchronized (desk) {
-                Thread.sleep(registerMillis); // its work: one call after another
+            synchronized (discoveryLock) {
+                Thread.sleep(discoveryMillis); // simulated service time: one call after another
             }
-            answer(exchange, list());
+            answer(exchange, listDocument());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -213,7 +213,7 @@
             notifyAll();
         }
         nodes.forEach(node -> node.server.stop(0));
-        register.stop(0);
+        discovery.stop(0);
         threads.shutdownNow();
     }
 }
--- a/src/main/java/gorsemast/rig/package-info.java
+++ b/src/main/java/gorsemast/rig/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The proving ground: several processes of the packaged program on loopback, with faults between them, stand-ins for
- * cache nodes, ledger and register, clients, and a referee that judges from what those wrote down.
+ * Test rig with real processes: several instances of the packaged program on loopback, with faults between them, stand-ins
+ * for cache nodes, origin and discovery service, clients, and a checker that works from their records.
  */
 package gorsemast.rig;
--- a/src/main/java/gorsemast/standin/HttpCall.java
+++ b/src/main/java/gorsemast/standin/HttpCall.java
@@ -21,25 +21,25 @@
 import java.net.InetSocketAddress;
 import java.util.Map;
 
-/** One call of a stand-in on a connection of its own; its answer comes on the loop, status 0 for none. */
+/** One HTTP call on its own connection. The response is delivered on the event loop; status 0 means none. */
 public final class HttpCall {
-    private static final int MOST = 32 << 20;
+    private static final int MAX_BODY_BYTES = 32 << 20;
     private static final int CONNECT_MILLIS = 1_000;
 
-    /** Told once. */
-    public interface Done {
-        /** @param status 0 where no whole answer came */
+    /** Receives the response once. */
+    public interface ResponseHandler {
+        /** @param status 0 if no complete response arrived */
         void answered(int status, byte[] body);
     }
 
     private HttpCall() {}
 
-    /** A POST with a JSON body. */
-    public static void post(EventLoop loop, InetSocketAddress to, String path, byte[] body, Done done) {
-        send(loop, to, "POST", path, Map.of("Content-Type", "application/json"), body, done);
+    /** Sends a POST with a JSON body. */
+    public static void post(EventLoop loop, InetSocketAddress to, String path, byte[] body, ResponseHandler handler) {
+        send(loop, to, "POST", path, Map.of("Content-Type", "application/json"), body, handler);
     }
 
-    /** Any call. */
+    /** Sends a request. */
     public static void send(
             EventLoop loop,
             InetSocketAddress to,
@@ -47,7 +47,7 @@
             String path,
             Map<String, String> headers,
             byte[] body,
-            Done done) {
+            ResponseHandler done) {
         FullHttpRequest request = new DefaultFullHttpRequest(
                 HttpVersion.HTTP_1_1,
                 HttpMethod.valueOf(method),
@@ -67,7 +67,11 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel ch) {
-                        ch.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST), new Waiting(done));
+                        ch.pipeline()
+                                .addLast(
+                                        new HttpClientCodec(),
+                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                        new ResponseReader(done));
                     }
                 })
                 .connect(to)
@@ -81,28 +85,28 @@
                 });
     }
 
-    private static final class Waiting extends SimpleChannelInboundHandler<FullHttpResponse> {
-        private final Done done;
-        private boolean over;
+    private static final class ResponseReader extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final ResponseHandler handler;
+        private boolean finished;
 
-        Waiting(Done done) {
-            this.done = done;
+        ResponseReader(ResponseHandler handler) {
+            this.handler = handler;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            if (!over) {
-                over = true;
-                done.answered(answer.status().code(), ByteBufUtil.getBytes(answer.content()));
+            if (!finished) {
+                finished = true;
+                handler.answered(answer.status().code(), ByteBufUtil.getBytes(answer.content()));
             }
             ctx.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            if (!over) {
-                over = true;
-                done.answered(0, new byte[0]);
+            if (!finished) {
+                finished = true;
+                handler.answered(0, new byte[0]);
             }
         }
 
--- a/src/main/java/gorsemast/standin/LoopbackNetwork.java
+++ b/src/main/java/gorsemast/standin/LoopbackNetwork.java
@@ -24,89 +24,90 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * A whole network in one process: three core machines and some edges, each under a loopback address of its own, with
- * stand-in servers of an object service and of another one. For a first look, for tests, and for the archive of classes
- * that halves the programs' start.
+ * A complete network in one process: three core machines and some edges, each on its own loopback address, with stand-in
+ * servers of two services. Used for demonstration, for tests, and for the class archive that halves the start time of the
+ * programs.
  */
 public final class LoopbackNetwork implements AutoCloseable {
-    /** A host whose paths below {@code /objects/} are held, and below {@code /orders/} are not. */
+    /** Host whose paths below {@code /objects/} are cacheable and those below {@code /orders/} are not. */
     public static final String HOST = "demo.example";
-    /** How long objects are held by the first configuration: longer than anybody waits for anything here. */
+    /** Cache TTL of the first configuration, longer than any timeout here. */
     public static final String FIRST_TTL = "120s";
 
     private static final int CORES = 3;
-    private static final long BEAT_MILLIS = 400;
-    private static final long PATIENCE_SECONDS = 20;
-    /** From the first to the last port of a machine. */
+    private static final long HEARTBEAT_MILLIS = 400;
+    private static final long TIMEOUT_SECONDS = 20;
+    /** Offset of the last port of a machine from the first. */
     private static final int LAST_PORT = 8;
-    /** Starts on other ports after one that was taken meanwhile. */
-    private static final int TRIES = 5;
+    /** Number of attempts when a port is taken meanwhile. */
+    private static final int PORT_ATTEMPTS = 5;
 
     private final EventLoop loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
     private final String net;
     private final int port;
     private final Path data;
-    private final List<InetSocketAddress> controls = new ArrayList<>();
-    private final List<InetSocketAddress> fronts = new ArrayList<>();
-    private final List<InetSocketAddress> probes = new ArrayList<>();
+    private final List<InetSocketAddress> controlAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> clientAddresses = new ArrayList<>();
+    private final List<InetSocketAddress> readinessAddresses = new ArrayList<>();
     private final List<StandInServer> servers = new ArrayList<>();
     private final List<Daemon> programs = new ArrayList<>();
 
     /**
-     * One that is not started.
+     * Creates a network that is not started.
      *
      * @param net the first three numbers of its machines' addresses, such as {@code 127.0.7}
-     * @param port the first of some ports that are free there
-     * @param data where the stores' disks are
+     * @param port the first of several free ports
+     * @param data data directory of the stores
      */
     public LoopbackNetwork(String net, int port, Path data) {
         this.net = net;
         this.port = port;
         this.data = data;
         for (int i = 1; i <= CORES; i++) {
-            controls.add(new InetSocketAddress(net + '.' + i, port));
+            controlAddresses.add(new InetSocketAddress(net + '.' + i, port));
         }
     }
 
     /**
-     * One that runs on ports that the system gives, as by {@link #start}; on others where one of them is taken meanwhile.
+     * Starts a network on free ports as by {@link #start}, retrying on others if one is taken meanwhile.
      *
      * @param net the first three numbers of its machines' addresses
-     * @param data where the stores' disks are, in a folder for each try
-     * @throws IOException where it can't be started on any ports that were tried
+     * @param data data directory of the stores, with a folder for each attempt
+     * @throws IOException if it could not be started on any of the ports tried
      */
     public static LoopbackNetwork started(String net, Path data, int edges) throws IOException {
         return started(net, () -> freePort(net), data, edges);
     }
 
-    /** Names the first port of a network. */
+    /** Supplies the first port of a network. */
     interface PortSource {
-        /** Another one at each call. */
+        /** Returns another port at each call. */
         int next() throws IOException;
     }
 
     static LoopbackNetwork started(String net, PortSource ports, Path data, int edges) throws IOException {
-        IOException taken = null;
-        for (int i = 0; i < TRIES; i++) {
+        IOException lastFailure = null;
+        for (int i = 0; i < PORT_ATTEMPTS; i++) {
             LoopbackNetwork network = new LoopbackNetwork(net, ports.next(), data.resolve("ports-" + i));
             try {
                 network.start(edges);
                 return network;
             } catch (IOException e) {
-                taken = e;
+                lastFailure = e;
             }
         }
-        throw new IOException("no free ports in " + TRIES + " tries: " + taken.getMessage(), taken);
+        throw new IOException(
+                "no free ports in " + PORT_ATTEMPTS + " attempts: " + lastFailure.getMessage(), lastFailure);
     }
 
-    /** A port that is free on the first machine, with room for those that follow it. */
+    /** Returns a free port on the first machine, low enough for the ports that follow it. */
     public static int freePort(String net) throws IOException {
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName(net + ".1"))) {
             return Math.min(free.getLocalPort(), 0xffff - LAST_PORT);
         }
     }
 
-    /** The settings of one machine, as the platform writes them. */
+    /** Returns the settings of one machine in the format of the platform. */
     public String settings(String ip, String name, boolean core, boolean first, Path disk) {
         StringBuilder text = new StringBuilder();
         text.append("nodeName: \"")
@@ -133,7 +134,7 @@
                 .append("\n  - ")
                 .append(port + LAST_PORT)
                 .append("\nseedNodes:\n");
-        controls.forEach(control -> text.append("  - \"")
+        controlAddresses.forEach(control -> text.append("  - \"")
                 .append(control.getAddress().getHostAddress())
                 .append(':')
                 .append(control.getPort())
@@ -143,7 +144,7 @@
                 .append("\nlimits:\n  fileDescriptors: 4096\ndataDir: ")
                 .append(disk == null ? "null" : "\"" + disk + '"')
                 .append("\nheartbeat: \"")
-                .append(BEAT_MILLIS)
+                .append(HEARTBEAT_MILLIS)
                 .append(
                         "ms\"\nfaultTolerance:\n  machineLosses: 1\ntimingBounds:\n  drain: \"2000ms\"\n  grace: \"1s\"\n")
                 .append("  retryBudgetRatio: 0.2\n  retryWindow: \"10s\"\n  retrySlack: 60\n");
@@ -151,11 +152,11 @@
     }
 
     /**
-     * Starts it all, and returns when all edges are ready with the first configuration. Where that fails, what had been started
-     * is ended before it throws.
+     * Starts everything and returns when all edges are ready with the first configuration. On failure, it stops what it had
+     * started before it throws.
      *
-     * @throws IOException where an address is taken
-     * @throws IllegalStateException where it does not become ready
+     * @throws IOException if an address is taken
+     * @throws IllegalStateException if the network does not become ready
      */
     public void start(int edges) throws IOException {
         try {
@@ -171,7 +172,7 @@
         program.start();
     }
 
-    /** Ends all programs and servers with their threads and sockets; their disks are written no more when it returns. */
+    /** Stops all programs and servers with their threads and sockets; their disks are no longer written when it returns. */
     @Override
     public void close() {
         servers.forEach(StandInServer::close);
@@ -191,8 +192,8 @@
         for (int i = 0; i < edges; i++) {
             String ip = net + '.' + (20 + i);
             run(new ProxyProgram(Settings.parse(settings(ip, "edge-" + i, false, true, null))));
-            fronts.add(new InetSocketAddress(ip, port + 1));
-            probes.add(new InetSocketAddress(ip, port + 2));
+            clientAddresses.add(new InetSocketAddress(ip, port + 1));
+            readinessAddresses.add(new InetSocketAddress(ip, port + 2));
         }
         for (int i = 0; i < 4; i++) {
             servers.add(new StandInServer(
@@ -202,24 +203,29 @@
                     "here",
                     net + '.' + (40 + i),
                     port,
-                    controls,
-                    BEAT_MILLIS));
+                    controlAddresses,
+                    HEARTBEAT_MILLIS));
         }
-        until(() ->
-                call(controls.get(0), "POST", "/v1/configuration/replace", Map.of(), configuration(1, FIRST_TTL)).status
-                        == 200);
-        until(() ->
-                probes.stream().allMatch(probe -> call(probe, "GET", "/v1/readiness", Map.of(), null).status == 200));
-        until(() -> call(fronts.get(0), "GET", "/objects/first", client("first"), null).status == 200);
-        until(() -> call(fronts.get(0), "GET", "/orders/first", client("second"), null).status == 200);
+        until(() -> call(
+                                controlAddresses.get(0),
+                                "POST",
+                                "/v1/configuration/replace",
+                                Map.of(),
+                                configuration(1, FIRST_TTL))
+                        .status
+                == 200);
+        until(() -> readinessAddresses.stream()
+                .allMatch(probe -> call(probe, "GET", "/v1/readiness", Map.of(), null).status == 200));
+        until(() -> call(clientAddresses.get(0), "GET", "/objects/first", client("first"), null).status == 200);
+        until(() -> call(clientAddresses.get(0), "GET", "/orders/first", client("second"), null).status == 200);
     }
 
-    /** What a client says beside its request. */
+    /** Headers of a client request. */
     public static Map<String, String> client(String id) {
         return Map.of("Host", HOST, "Attempt-Id", id, "Time-Budget", "1500");
     }
 
-    /** A configuration of both services under a version. */
+    /** Returns a configuration of both services with a version. */
     public static byte[] configuration(int version, String ttl) {
         return ("{\"configVersion\":\"" + String.format("%08x", version) + "\",\"backendTable\":["
                         + "{\"name\":\"objects\",\"healthPath\":\"/health\",\"maxConnections\":130,\"protocol\":\"h1\",\"tls\":false,"
@@ -237,7 +243,7 @@
                 .getBytes(StandardCharsets.UTF_8);
     }
 
-    /** An answer; status 0 for none. */
+    /** A response; status 0 means none. */
     public record Answer(int status, byte[] body) {
         /** Its body as text. */
         public String text() {
@@ -245,39 +251,40 @@
         }
     }
 
-    /** A call that is waited for; not on a loop of the network. */
+    /** Makes a call and waits for the response; must not run on an event loop of the network. */
     public Answer call(InetSocketAddress to, String method, String path, Map<String, String> headers, byte[] body) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
         HttpCall.send(
                 loop, to, method, path, headers, body, (status, bytes) -> answer.complete(new Answer(status, bytes)));
         try {
-            return answer.get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+            return answer.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (InterruptedException | ExecutionException | TimeoutException e) {
             return new Answer(0, new byte[0]);
         }
     }
 
-    /** Something that becomes true. */
+    /** A condition to wait for. */
     public interface Condition {
-        /** Whether it is. */
+        /** Whether it holds. */
         boolean holds();
     }
 
-    /** Asks until it holds; throws where that takes too long. */
+    /** Polls until the condition holds; throws on timeout. */
     public static void until(Condition condition) {
-        long last = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
+        long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (!condition.holds()) {
-            if (System.nanoTime() > last) {
-                throw new IllegalStateException("did not come about in " + PATIENCE_SECONDS + " s");
+            if (System.nanoTime() > deadline) {
+                throw new IllegalStateException("condition did not hold within " + TIMEOUT_SECONDS + " s");
             }
             Thread.onSpinWait();
             java.util.concurrent.locks.LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(20));
         }
     }
 
-    /** One more server, at an address of its own, whose last number is given. */
+    /** Starts another server on an address with the given last number. */
     public StandInServer newServer(String id, String service, int number) throws IOException {
-        return new StandInServer(loop, id, service, "here", net + '.' + number, port, controls, BEAT_MILLIS);
+        return new StandInServer(
+                loop, id, service, "here", net + '.' + number, port, controlAddresses, HEARTBEAT_MILLIS);
     }
 
     /** The port of all machines' first service, for a server that takes another one's address. */
@@ -285,27 +292,27 @@
         return new InetSocketAddress(net + '.' + number, port);
     }
 
-    /** Where proxies take links. */
+    /** Port on which proxies accept links. */
     public int linkPort() {
         return port + 3;
     }
 
-    /** Where edges ask each other for objects. */
+    /** Port on which edges request objects from each other. */
     public int objectsPort() {
         return port + 6;
     }
 
-    /** Where operators call. */
+    /** Addresses for operators. */
     public List<InetSocketAddress> controls() {
-        return controls;
+        return controlAddresses;
     }
 
-    /** Where clients call. */
+    /** Addresses for clients. */
     public List<InetSocketAddress> fronts() {
-        return fronts;
+        return clientAddresses;
     }
 
-    /** The stand-in servers: two of objects, two of orders. */
+    /** The stand-in servers: two for objects, two for orders. */
     public List<StandInServer> servers() {
         return servers;
     }
--- a/src/main/java/gorsemast/standin/StandInServer.java
+++ b/src/main/java/gorsemast/standin/StandInServer.java
@@ -28,31 +28,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One life of a server: runs what is asked of it after a time, says what it ran, beats at the registries, and turns away
- * what is meant for another life. What it does wrong is set from outside, for tests. One event loop; what is public may
- * be called from any thread.
+ * One server instance: executes requests after a delay, records them, sends heartbeats to the registries, and rejects
+ * requests meant for another instance. Tests set its faults. Runs on one event loop; public methods may be called from any
+ * thread.
  */
 public final class StandInServer implements AutoCloseable {
-    /** A client may fill a head of the longest that an operator allows in tests. */
-    private static final int MOST_HEAD = 32 << 10;
+    /** Allows the longest request head that a test configuration permits. */
+    private static final int MAX_HEAD_BYTES = 32 << 10;
 
-    private static final int MOST = 1 << 20;
-    /** What it appends to objects below a path {@code /long/}. */
-    public static final int LONG = 3 << 20;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    /** Bytes appended to objects below a path {@code /long/}. */
+    public static final int LONG_OBJECT_BYTES = 3 << 20;
 
-    /** What it does with the next requests. */
-    public enum Manner {
+    /** How it handles requests. */
+    public enum Behavior {
         SERVES,
-        TURNS_AWAY,
+        REJECTS,
         FAILS,
-        SAYS_NOTHING,
-        CUTS_SHORT,
-        ANSWERS_TWICE,
-        ANSWERS_LATE_AGAIN,
+        NEVER_RESPONDS,
+        TRUNCATES_RESPONSE,
+        RESPONDS_TWICE,
+        REPEATS_PREVIOUS_RESPONSE,
         RESETS
     }
 
-    /** A request that it ran, and when it began to, of {@link System#nanoTime}. */
+    /** A request that it executed, with its start by {@link System#nanoTime}. */
     public record Run(String attemptId, String method, String uri, String body, long nanos) {}
 
     private final EventLoop loop;
@@ -63,16 +63,16 @@
     private final Map<String, Integer> versions = new ConcurrentHashMap<>();
     private final List<Run> runs = new ArrayList<>();
     private final List<Channel> open = new ArrayList<>();
-    private volatile Manner manner = Manner.SERVES;
+    private volatile Behavior behavior = Behavior.SERVES;
     private volatile String state = "ready";
-    private volatile boolean beating = true;
+    private volatile boolean heartbeatsEnabled = true;
     private volatile long workMicros;
     private volatile int failure = HttpResponseStatus.INTERNAL_SERVER_ERROR.code();
     private Channel listener;
-    private long calls;
-    private int turn;
+    private long callSequence;
+    private int registryIndex;
 
-    /** One that listens on an address of its own; begins to beat at once. */
+    /** Creates a server that listens on its own address and sends heartbeats at once. */
     public StandInServer(
             EventLoop loop,
             String id,
@@ -81,7 +81,7 @@
             String ip,
             int port,
             List<InetSocketAddress> registries,
-            long beatMillis)
+            long heartbeatMillis)
             throws IOException {
         this.loop = loop;
         this.id = id;
@@ -94,97 +94,97 @@
                 open.add(ch);
                 ch.pipeline()
                         .addLast(
-                                new StrictHttp.Requests(MOST_HEAD),
+                                new StrictHttp.Requests(MAX_HEAD_BYTES),
                                 new HttpResponseEncoder(),
-                                new HttpObjectAggregator(MOST),
-                                new Serving());
+                                new HttpObjectAggregator(MAX_BODY_BYTES),
+                                new RequestHandler());
             }
         });
-        loop.scheduleAtFixedRate(this::beat, 0, beatMillis, TimeUnit.MILLISECONDS);
+        loop.scheduleAtFixedRate(this::sendHeartbeat, 0, heartbeatMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** Where it listens. */
+    /** Its listen address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** This life's id. */
+    /** Id of this instance. */
     public String id() {
         return id;
     }
 
-    /** What it does from now on. */
-    public void manner(Manner next) {
-        manner = next;
+    /** Sets how it handles requests from now on. */
+    public void setBehavior(Behavior next) {
+        behavior = next;
     }
 
-    /** Runs what comes and answers it with this status, without a word that it has not run. */
+    /** Executes requests and responds with this status, without marking them as not executed. */
     public void failsWith(int status) {
         failure = status;
-        manner = Manner.FAILS;
+        behavior = Behavior.FAILS;
     }
 
-    /** How long it works on each request. */
-    public void work(long micros) {
+    /** Sets the processing time of each request. */
+    public void setWorkMicros(long micros) {
         workMicros = micros;
     }
 
-    /** Tells the registries that it leaves, from its next beat on. */
+    /** Reports to the registries that it is draining, from its next heartbeat on. */
     public void drain() {
         state = "draining";
-        loop.execute(this::beat);
+        loop.execute(this::sendHeartbeat);
     }
 
-    /** Beats no more, or again. */
-    public void beats(boolean does) {
-        beating = does;
+    /** Stops or resumes heartbeats. */
+    public void setHeartbeatsEnabled(boolean enabled) {
+        heartbeatsEnabled = enabled;
     }
 
-    /** An object has another version from now on. */
+    /** Changes the version of an object. */
     public void change(String uri) {
         versions.merge(uri, 1, Integer::sum);
     }
 
-    /** All that it ran. */
+    /** All executed requests. */
     public List<Run> runs() {
         synchronized (runs) {
             return List.copyOf(runs);
         }
     }
 
-    private void beat() {
-        if (!beating || registries.isEmpty()) {
+    private void sendHeartbeat() {
+        if (!heartbeatsEnabled || registries.isEmpty()) {
             return;
         }
         InetSocketAddress at = address();
         String body = "{\"backend\":\"" + service + "\",\"address\":\""
                 + at.getAddress().getHostAddress() + ':' + at.getPort()
                 + "\",\"zone\":\"" + zone + "\",\"configVersion\":\"v1\",\"capacity\":8,\"state\":\"" + state
-                + "\",\"warmupLeft\":\"0ms\",\"callSeq\":" + ++calls + '}';
+                + "\",\"warmupLeft\":\"0ms\",\"callSeq\":" + ++callSequence + '}';
         HttpCall.post(
                 loop,
-                registries.get(turn % registries.size()),
+                registries.get(registryIndex % registries.size()),
                 "/v1/nodes/" + id + "/heartbeat",
                 body.getBytes(StandardCharsets.UTF_8),
                 (status, answer) -> {
                     if (status != 200) {
-                        turn++;
+                        registryIndex++;
                     }
                 });
     }
 
-    /** It is gone, without a word. */
+    /** Stops without deregistering. */
     @Override
     public void close() {
-        beating = false;
+        heartbeatsEnabled = false;
         loop.execute(() -> {
             listener.close();
             open.forEach(Channel::close);
         });
     }
 
-    /** One connection; one request at a time. */
-    private final class Serving extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Handles one connection, one request at a time. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         private String lastAttempt;
         private String lastBody;
 
@@ -196,8 +196,8 @@
                 write(ctx, HttpResponseStatus.MISDIRECTED_REQUEST, attempt, "", false);
                 return;
             }
-            Manner does = manner;
-            if (does == Manner.TURNS_AWAY) {
+            Behavior current = behavior;
+            if (current == Behavior.REJECTS) {
                 write(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, attempt, "", false);
                 return;
             }
@@ -211,23 +211,23 @@
                         System.nanoTime()));
             }
             String body = "object " + uri + " version " + versions.getOrDefault(uri, 0) + '\n'
-                    + (uri.contains("/long/") ? "x".repeat(LONG) : "");
-            if (does == Manner.ANSWERS_LATE_AGAIN && lastAttempt != null) {
-                write(ctx, HttpResponseStatus.OK, lastAttempt, lastBody, true); // in the place of the one that is due
+                    + (uri.contains("/long/") ? "x".repeat(LONG_OBJECT_BYTES) : "");
+            if (current == Behavior.REPEATS_PREVIOUS_RESPONSE && lastAttempt != null) {
+                write(ctx, HttpResponseStatus.OK, lastAttempt, lastBody, true); // instead of the response that is due
             }
             lastAttempt = attempt;
             lastBody = body;
-            switch (does) {
-                case SAYS_NOTHING -> {
-                    // the caller finds out
+            switch (current) {
+                case NEVER_RESPONDS -> {
+                    // the caller times out
                 }
                 case RESETS -> ctx.close();
                 case FAILS -> write(ctx, HttpResponseStatus.valueOf(failure), attempt, "failed", true);
-                case CUTS_SHORT -> {
+                case TRUNCATES_RESPONSE -> {
                     byte[] whole = ("HTTP/1.1 200 OK\r\nAttempt-Id: " + attempt + "\r\nEdge-Seal: " + id
                                     + "\r\nContent-Length: " + (body.length() + 10) + "\r\n\r\n" + body)
                             .getBytes(StandardCharsets.UTF_8);
-                    // straight to the socket: the encoder would not write what is no answer
+                    // bypasses the encoder, which would not write an incomplete response
                     ctx.pipeline()
                             .firstContext()
                             .writeAndFlush(Unpooled.wrappedBuffer(whole))
@@ -237,7 +237,7 @@
                     loop.schedule(
                             () -> {
                                 write(ctx, HttpResponseStatus.OK, attempt, body, true);
-                                if (does == Manner.ANSWERS_TWICE) {
+                                if (current == Behavior.RESPONDS_TWICE) {
                                     write(ctx, HttpResponseStatus.OK, attempt, "again " + body, true);
                                 }
                             },
@@ -247,14 +247,14 @@
         }
 
         private void write(
-                ChannelHandlerContext ctx, HttpResponseStatus status, String attempt, String body, boolean ran) {
+                ChannelHandlerContext ctx, HttpResponseStatus status, String attempt, String body, boolean executed) {
             ByteBuf content = ByteBufUtil.writeUtf8(ctx.alloc(), body);
             FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content);
             answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
             if (attempt != null) {
                 answer.headers().set("Attempt-Id", attempt);
             }
-            if (ran) {
+            if (executed) {
                 answer.headers()
                         .set("Edge-Seal", id)
                         .set("Object-Tags", "all")
--- a/src/main/java/gorsemast/standin/package-info.java
+++ b/src/main/java/gorsemast/standin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Stand-ins on loopback for what the delivery network meets outside: servers that beat, an operator, clients; and a whole
- * network of real programs among them.
+ * Loopback stand-ins for the environment of the delivery network (servers with heartbeats, an operator, clients), and a
+ * complete network of real programs.
  */
 package gorsemast.standin;
--- a/src/test/java/gorsemast/emulator/ClusterTest.java
+++ b/src/test/java/gorsemast/emulator/ClusterTest.java
@@ -20,31 +20,31 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Day.class)
-    void theFourRulesHoldAndServiceComesBack(Day day) {
-        Cluster.Result result = cluster(3).play(day);
+    @EnumSource(Scenario.class)
+    void theFourRulesHoldAndServiceComesBack(Scenario day) {
+        Cluster.RunResult result = cluster(3).run(day);
         assertTrue(
-                result.referee().holds(),
-                () -> result.line() + "\n" + String.join("\n", result.referee().findings()));
-        assertTrue(result.back() >= 0 && result.back() <= BACK_WITHIN_SECONDS, result::line);
+                result.checker().holds(),
+                () -> result.line() + "\n" + String.join("\n", result.checker().findings()));
+        assertTrue(result.recoverySeconds() >= 0 && result.recoverySeconds() <= BACK_WITHIN_SECONDS, result::line);
         assertTrue(result.before() > 0.95, result::line);
     }
 
     /** Without the zone as one that falls silent: 0.77 and 0.85. */
     @ParameterizedTest
     @EnumSource(
-            value = Day.class,
+            value = Scenario.class,
             names = {"SPLIT", "ZONE"})
-    void aSilentZoneCostsLittleThoughEachProxySeesLittleOfIt(Day day) {
-        Cluster.Result result = cluster(3).play(day);
+    void aSilentZoneCostsLittleThoughEachProxySeesLittleOfIt(Scenario day) {
+        Cluster.RunResult result = cluster(3).run(day);
         assertTrue(result.during() > 0.88, result::line);
     }
 
     @Test
     void theSameSeedGivesTheSameSums() {
-        String once = cluster(5).play(Day.HERD).tally().table();
-        assertEquals(once, cluster(5).play(Day.HERD).tally().table());
-        assertFalse(once.equals(cluster(6).play(Day.HERD).tally().table()));
+        String once = cluster(5).run(Scenario.HERD).tally().table();
+        assertEquals(once, cluster(5).run(Scenario.HERD).tally().table());
+        assertFalse(once.equals(cluster(6).run(Scenario.HERD).tally().table()));
     }
 
     @Test
@@ -53,7 +53,8 @@
         CacheNode node = cluster.serving().get(0);
         node.restart();
         for (int i = 0;
-                i < 3 * CacheNode.FALL_MULTIPLE * node.capacity() && node.condition() == CacheNode.Condition.UP;
+                i < 3 * CacheNode.OVERLOAD_MULTIPLE * node.requestsPerSecond()
+                        && node.condition() == CacheNode.Condition.UP;
                 i++) {
             node.request("k", false, 1_000, () -> {}, new CacheNode.Reply() {
                 @Override
@@ -63,34 +64,34 @@
                 public void error() {}
 
                 @Override
-                public void turnedAway() {}
+                public void rejected() {}
             });
         }
-        assertEquals(1, cluster.referee.fallen());
+        assertEquals(1, cluster.checker.fallen());
         assertEquals(CacheNode.Condition.REFUSING, node.condition());
     }
 
     @Test
     void theRefereeFindsEachBrokenRule() {
-        Referee referee = new Referee();
-        referee.ran(0, "a", Effect.UNSAFE, 0);
-        referee.ran(1, "s", Effect.SAFE, 0);
-        referee.ran(2, "s", Effect.SAFE, 0);
-        referee.ran(0, "k", Effect.KEYED, 1_000_000);
-        referee.ran(900_000, "k", Effect.KEYED, 1_000_000);
+        InvariantChecker referee = new InvariantChecker();
+        referee.executed(0, "a", Effect.UNSAFE, 0);
+        referee.executed(1, "s", Effect.SAFE, 0);
+        referee.executed(2, "s", Effect.SAFE, 0);
+        referee.executed(0, "k", Effect.KEYED, 1_000_000);
+        referee.executed(900_000, "k", Effect.KEYED, 1_000_000);
         referee.answered(5, "a", 10);
-        referee.wroteToDraining(Referee.DRAIN_MICROS, "p", "n", 0);
+        referee.wroteToDraining(InvariantChecker.DRAIN_MICROS, "p", "n", 0);
         assertTrue(referee.holds());
-        referee.ran(1, "a", Effect.UNSAFE, 0);
-        referee.ran(1_000_000 + Referee.SLACK_MICROS + 1, "k", Effect.KEYED, 1_000_000);
+        referee.executed(1, "a", Effect.UNSAFE, 0);
+        referee.executed(1_000_000 + InvariantChecker.SLACK_MICROS + 1, "k", Effect.KEYED, 1_000_000);
         referee.answered(6, "a", 10);
-        referee.twoOut(6, "a");
+        referee.concurrentAttempts(6, "a");
         assertEquals(4, referee.twice());
-        referee.answered(20 + Referee.SLACK_MICROS, "b", 10);
+        referee.answered(20 + InvariantChecker.SLACK_MICROS, "b", 10);
         referee.unanswered(7, "c");
         referee.unanswered(7, "b");
         assertEquals(2, referee.lost());
-        referee.wroteToDraining(Referee.DRAIN_MICROS + 1, "p", "n", 0);
+        referee.wroteToDraining(InvariantChecker.DRAIN_MICROS + 1, "p", "n", 0);
         assertEquals(1, referee.drains());
     }
 }
--- a/src/test/java/gorsemast/processes/AddedRouteTest.java
+++ b/src/test/java/gorsemast/processes/AddedRouteTest.java
@@ -73,9 +73,9 @@
         }
         network.edgeDescriptors(DESCRIPTORS);
         network.startEdge(EDGE, true, 1, 2, 3);
-        network.server("i-objects", "objects", 40, 1, 2, 3).work(WORK_MICROS);
-        network.server("i-orders-1", "orders", 41, 1, 2, 3).work(WORK_MICROS);
-        network.server("i-orders-2", "orders", 42, 1, 2, 3).work(WORK_MICROS);
+        network.server("i-objects", "objects", 40, 1, 2, 3).setWorkMicros(WORK_MICROS);
+        network.server("i-orders-1", "orders", 41, 1, 2, 3).setWorkMicros(WORK_MICROS);
+        network.server("i-orders-2", "orders", 42, 1, 2, 3).setWorkMicros(WORK_MICROS);
         ProcessNetwork.until(
                 "the first configuration",
                 START_MILLIS,
--- a/src/test/java/gorsemast/processes/EndOfProcessTest.java
+++ b/src/test/java/gorsemast/processes/EndOfProcessTest.java
@@ -61,7 +61,7 @@
                 network.startCore(core, true, 1, 2, 3);
             }
             StandInServer server = network.server("i-1", "orders", 40, 1, 2, 3);
-            server.work(WORK_MICROS);
+            server.setWorkMicros(WORK_MICROS);
             ProcessNetwork.until(
                     "the first configuration",
                     START_MILLIS,
--- a/src/test/java/gorsemast/processes/ObjectSoak.java
+++ b/src/test/java/gorsemast/processes/ObjectSoak.java
@@ -70,7 +70,7 @@
         EDGES.forEach(edge -> network.startEdge(edge, true, 1, 2, 3));
         for (int i = 0; i < 2; i++) {
             StandInServer server = network.server("i-" + i, "objects", 40 + i, 1, 2, 3);
-            server.work(WORK_MICROS);
+            server.setWorkMicros(WORK_MICROS);
             servers.add(server);
         }
         ProcessNetwork.until("the first configuration", START_MILLIS, () -> configure());
@@ -174,11 +174,11 @@
             case EDGE_PAUSED, CORE_PAUSED -> network.pause(one);
             case EDGES_CUT -> network.relay().cut(name(one), name(trouble.other()));
             case EDGES_RESET -> network.relay().reset(name(one), name(trouble.other()));
-            case ANSWERS_LOST -> servers.get(one).manner(StandInServer.Manner.SAYS_NOTHING);
-            case ANSWERS_CUT_SHORT -> servers.get(one).manner(StandInServer.Manner.CUTS_SHORT);
-            case ANSWERS_LATE_AGAIN -> servers.get(one).manner(StandInServer.Manner.ANSWERS_LATE_AGAIN);
-            case SERVER_RESETS -> servers.get(one).manner(StandInServer.Manner.RESETS);
-            case SERVER_SLOW -> servers.get(one).work(SLOW_MICROS);
+            case ANSWERS_LOST -> servers.get(one).setBehavior(StandInServer.Behavior.NEVER_RESPONDS);
+            case ANSWERS_CUT_SHORT -> servers.get(one).setBehavior(StandInServer.Behavior.TRUNCATES_RESPONSE);
+            case ANSWERS_LATE_AGAIN -> servers.get(one).setBehavior(StandInServer.Behavior.REPEATS_PREVIOUS_RESPONSE);
+            case SERVER_RESETS -> servers.get(one).setBehavior(StandInServer.Behavior.RESETS);
+            case SERVER_SLOW -> servers.get(one).setWorkMicros(SLOW_MICROS);
         }
     }
 
@@ -191,8 +191,8 @@
                 network.relay().heal(); // all links; what is still cut is cut again
                 others.stream().filter(SoakTrouble::isOnLinks).forEach(this::begin);
             }
-            case SERVER_SLOW -> servers.get(one).work(WORK_MICROS);
-            default -> servers.get(one).manner(StandInServer.Manner.SERVES);
+            case SERVER_SLOW -> servers.get(one).setWorkMicros(WORK_MICROS);
+            default -> servers.get(one).setBehavior(StandInServer.Behavior.SERVES);
         }
     }
 
--- a/src/test/java/gorsemast/processes/SignalSoak.java
+++ b/src/test/java/gorsemast/processes/SignalSoak.java
@@ -143,7 +143,7 @@
         edges.forEach(edge -> startEdge(edge, true));
         for (int i = 0; i < 3; i++) {
             StandInServer server = network.server("i-" + i, i == 0 ? "objects" : "orders", 200 + i, 1, 2, 3);
-            server.work(WORK_MICROS);
+            server.setWorkMicros(WORK_MICROS);
             servers.add(server);
         }
         ProcessNetwork.until(
--- a/src/test/java/gorsemast/rig/HerdTest.java
+++ b/src/test/java/gorsemast/rig/HerdTest.java
@@ -15,7 +15,7 @@
     @Test
     void mostOfTheProcessesAreKilledUnderLoadAndComeBackToOtherNodes() throws Exception {
         Herd.Result result =
-                new Herd(6, 3, 60, 400, folder, line -> {}).untilListed().play(true);
+                new Herd(6, 3, 60, 400, folder, line -> {}).untilListed().run(true);
         String said = result.line() + "\n" + String.join("\n", result.findings());
         assertEquals(0, result.lost(), said);
         assertEquals(0, result.twice(), said);
--- a/src/test/java/gorsemast/rig/LearnListTest.java
+++ b/src/test/java/gorsemast/rig/LearnListTest.java
@@ -34,7 +34,7 @@
     }
 
     private static boolean listed(Proxies.Proxy proxy) {
-        return proxy.call("list").startsWith("200 {");
+        return proxy.adminCall("list").startsWith("200 {");
     }
 
     @Test
@@ -47,22 +47,22 @@
             }
             assertTrue(await(() -> proxies.all.stream().allMatch(LearnListTest::listed)), "the register tells nobody");
             Proxies.Proxy last = proxies.all.get(3);
-            stands.registerDown = true;
+            stands.discoveryDown = true;
             last.kill(false);
-            last.known = OLD;
+            last.startList = OLD;
             last.start();
             assertTrue(
-                    await(() -> last.call("counters").contains("cache_nodes_known:4|g")),
-                    () -> "it knows " + last.call("counters"));
+                    await(() -> last.adminCall("counters").contains("cache_nodes_known:4|g")),
+                    () -> "it knows " + last.adminCall("counters"));
             assertTrue(
-                    last.call("counters").contains("cache_nodes_excluded:1|g"),
-                    "a drain is undone: " + last.call("counters"));
-            assertEquals("200 none\n", last.call("list"), "it passes on what it has not from the register");
+                    last.adminCall("counters").contains("cache_nodes_excluded:1|g"),
+                    "a drain is undone: " + last.adminCall("counters"));
+            assertEquals("200 none\n", last.adminCall("list"), "it passes on what it has not from the register");
             assertTrue(Files.readString(last.log()).contains("list 1 learned from "));
             Clients clients = new Clients(proxies, 4, 1);
-            assertTrue(
-                    await(() -> clients.asked.stream().anyMatch(a -> a.proxy() == 3 && a.end() == Clients.End.SERVED)));
-            clients.end();
+            assertTrue(await(() ->
+                    clients.records.stream().anyMatch(a -> a.proxy() == 3 && a.outcome() == Clients.Outcome.SERVED)));
+            clients.stop();
             for (Proxies.Proxy proxy : proxies.all) {
                 assertFalse(Files.readString(proxy.log()).contains("fault: "), Files.readString(proxy.log()));
             }
--- a/src/test/java/gorsemast/standin/NetworkTest.java
+++ b/src/test/java/gorsemast/standin/NetworkTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import gorsemast.standin.LoopbackNetwork.Answer;
-import gorsemast.standin.StandInServer.Manner;
+import gorsemast.standin.StandInServer.Behavior;
 import java.io.IOException;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
@@ -41,8 +41,8 @@
     @BeforeEach
     void allWell() {
         network.servers().forEach(server -> {
-            server.manner(Manner.SERVES);
-            server.work(0);
+            server.setBehavior(Behavior.SERVES);
+            server.setWorkMicros(0);
         });
     }
 
@@ -110,8 +110,10 @@
 
     @Test
     void whatMayNotRepeatRunsOnceHoweverItsServerFails() {
-        for (Manner manner : new Manner[] {Manner.RESETS, Manner.CUTS_SHORT, Manner.FAILS, Manner.ANSWERS_TWICE}) {
-            network.servers().forEach(server -> server.manner(manner));
+        for (Behavior manner :
+                new Behavior[] {Behavior.RESETS, Behavior.TRUNCATES_RESPONSE, Behavior.FAILS, Behavior.RESPONDS_TWICE
+                }) {
+            network.servers().forEach(server -> server.setBehavior(manner));
             String uri = "/orders/pay/" + manner;
             Answer answer = ask(0, "POST", uri, "pay".getBytes(StandardCharsets.UTF_8));
             assertThat(runs(uri)).as(manner.toString()).isEqualTo(1);
@@ -121,7 +123,7 @@
 
     @Test
     void aSurplusAnswerIsNobodysAnswer() {
-        network.servers().forEach(server -> server.manner(Manner.ANSWERS_TWICE));
+        network.servers().forEach(server -> server.setBehavior(Behavior.RESPONDS_TWICE));
         for (int i = 0; i < 8; i++) {
             String uri = "/orders/twice" + i;
             assertThat(ask(0, "GET", uri, null).text()).isEqualTo("object " + uri + " version 0\n");
@@ -130,13 +132,13 @@
 
     @Test
     void whatIsTurnedAwayGoesElsewhereOrComesBackLater() {
-        network.servers().get(2).manner(Manner.TURNS_AWAY);
+        network.servers().get(2).setBehavior(Behavior.REJECTS);
         int served = 0;
         for (int i = 0; i < 10; i++) {
             served += ask(0, "POST", "/orders/pay/t" + i, null).status() == 200 ? 1 : 0;
         }
         assertThat(served).isEqualTo(10);
-        network.servers().get(3).manner(Manner.TURNS_AWAY);
+        network.servers().get(3).setBehavior(Behavior.REJECTS);
         Answer answer = ask(0, "POST", "/orders/pay/none", null);
         assertThat(answer.status()).isEqualTo(503);
         assertThat(runs("/orders/pay/none")).isZero();
@@ -272,7 +274,7 @@
             ask(0, "GET", "/orders/y" + calls, null);
             return !old.runs().isEmpty();
         });
-        old.beats(false);
+        old.setHeartbeatsEnabled(false);
         old.close(); // without a word: edges take it for ready yet
         StandInServer[] next = new StandInServer[1];
         LoopbackNetwork.until(() -> {
@@ -297,13 +299,13 @@
         for (int i = 0; i < 4; i++) {
             Answer answer = ask(i % 2, "GET", "/objects/long/a", null);
             assertThat(answer.status()).isEqualTo(200);
-            assertThat(answer.body().length).isGreaterThan(StandInServer.LONG);
+            assertThat(answer.body().length).isGreaterThan(StandInServer.LONG_OBJECT_BYTES);
         }
     }
 
     @Test
     void aSecondAnswerInThePlaceOfTheNextIsNobodysAnswer() {
-        network.servers().forEach(server -> server.manner(Manner.ANSWERS_LATE_AGAIN));
+        network.servers().forEach(server -> server.setBehavior(Behavior.REPEATS_PREVIOUS_RESPONSE));
         for (int i = 0; i < 12; i++) {
             String uri = i % 2 == 0 ? "/orders/again" + i : "/orders/pay/again" + i;
             assertThat(ask(0, i % 2 == 0 ? "GET" : "POST", uri, null).text())
@@ -314,7 +316,7 @@
 
     @Test
     void pipelinedRequestsAreAnsweredInTheirOrder() throws IOException {
-        network.servers().get(2).work(60_000);
+        network.servers().get(2).setWorkMicros(60_000);
         StringBuilder all = new StringBuilder();
         for (int i = 0; i < 6; i++) {
             all.append("GET /orders/p")
@@ -362,7 +364,7 @@
                 + "\r\nHome-Step: 0\r\nHome-Budget: 1000\r\nHome-Hop: 1\r\nHome-Call: ";
         assertThat(raw(network.objectsPort(), question + "7f\r\n\r\n", "\r\n\r\n"))
                 .contains("Home-Call: 7f\r\n");
-        network.servers().forEach(server -> server.work(100_000));
+        network.servers().forEach(server -> server.setWorkMicros(100_000));
         String two = raw(
                 network.objectsPort(),
                 question.replace("objects/home", "objects/home2") + "1\r\n\r\n" + question + "2\r\n\r\n",
--- a/src/test/java/gorsemast/standin/ProcessesTest.java
+++ b/src/test/java/gorsemast/standin/ProcessesTest.java
@@ -196,7 +196,7 @@
         servers.add(leaver);
         LoopbackNetwork.until(
                 () -> ask("/orders/before").status() == 200 && !leaver.runs().isEmpty());
-        leaver.beats(false);
+        leaver.setHeartbeatsEnabled(false);
         LoopbackNetwork.until(
                 () -> network.call(network.controls().get(1), "POST", "/v1/nodes/i-2/deregister", Map.of(), new byte[2])
                                 .status()
@@ -248,7 +248,7 @@
 
     @Test
     void anEdgeThatIsToLeaveFinishesWhatItHas() throws Exception {
-        servers.get(1).work(400_000);
+        servers.get(1).setWorkMicros(400_000);
         java.util.concurrent.CompletableFuture<Answer> slow = java.util.concurrent.CompletableFuture.supplyAsync(
                 () -> network.call(front, "POST", "/orders/pay/slow", LoopbackNetwork.client("slow"), new byte[10]));
         LoopbackNetwork.until(
