--- a/src/test/java/gorsemast/cache/ContentTest.java
+++ b/src/test/java/gorsemast/cache/ContentTest.java
@@ -8,66 +8,66 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Copies and purges, homes that fail, and a ceiling that holds over any window. */
+/** Tests cached responses and purges, homes that fail, and a limit that holds over any window. */
 class ContentTest {
     private static final String KEY = ResponseCache.key("a.example", "/x/1");
 
-    private static CachedResponse copy(long asked, String... tags) {
-        return new CachedResponse(200, List.of(), new byte[1_000], Set.of(tags), asked, 10_000_000);
+    private static CachedResponse response(long requestedAt, String... tags) {
+        return new CachedResponse(200, List.of(), new byte[1_000], Set.of(tags), requestedAt, 10_000_000);
     }
 
     @Test
-    void aCopyIsServedForItsTimeFromWhenItWasAskedFor() {
-        ResponseCache shelf = new ResponseCache(1 << 20);
-        shelf.put(KEY, copy(1_000_000));
-        assertThat(shelf.getFresh(10_999_999, KEY, 60_000_000)).isNotNull();
-        assertThat(shelf.getFresh(11_000_000, KEY, 60_000_000)).isNull();
-        assertThat(shelf.getFresh(3_000_000, KEY, 2_000_000))
-                .as("the route's time became shorter")
+    void responseIsFreshForItsTtlFromTheTimeOfItsRequest() {
+        ResponseCache cache = new ResponseCache(1 << 20);
+        cache.put(KEY, response(1_000_000));
+        assertThat(cache.getFresh(10_999_999, KEY, 60_000_000)).isNotNull();
+        assertThat(cache.getFresh(11_000_000, KEY, 60_000_000)).isNull();
+        assertThat(cache.getFresh(3_000_000, KEY, 2_000_000))
+                .as("the route's time to live became shorter")
                 .isNull();
     }
 
     @Test
-    void aPurgeHoldsAgainstWhatWasAskedForBeforeIt() {
-        ResponseCache shelf = new ResponseCache(1 << 20);
-        long before = shelf.lastPurgeNumber();
-        shelf.purge(new PurgeRequest("p", "a.example", "/x/1", ""));
-        long after = shelf.lastPurgeNumber();
-        shelf.purge(new PurgeRequest("t", "", "", "red"));
-        assertThat(shelf.purgedSince(before, KEY, copy(0))).isTrue();
-        assertThat(shelf.purgedSince(after, KEY, copy(0))).isFalse();
-        assertThat(shelf.purgedSince(after, KEY, copy(0, "red"))).isTrue();
-        assertThat(shelf.purgedSince(shelf.lastPurgeNumber(), KEY, copy(0, "red")))
+    void purgeMatchesResponsesRequestedBeforeIt() {
+        ResponseCache cache = new ResponseCache(1 << 20);
+        long before = cache.lastPurgeNumber();
+        cache.purge(new PurgeRequest("p", "a.example", "/x/1", ""));
+        long after = cache.lastPurgeNumber();
+        cache.purge(new PurgeRequest("t", "", "", "red"));
+        assertThat(cache.purgedSince(before, KEY, response(0))).isTrue();
+        assertThat(cache.purgedSince(after, KEY, response(0))).isFalse();
+        assertThat(cache.purgedSince(after, KEY, response(0, "red"))).isTrue();
+        assertThat(cache.purgedSince(cache.lastPurgeNumber(), KEY, response(0, "red")))
                 .isFalse();
-        assertThat(shelf.purgedSince(before, ResponseCache.key("a.example", "/x/1?q"), copy(0)))
-                .as("with a query too")
+        assertThat(cache.purgedSince(before, ResponseCache.key("a.example", "/x/1?q"), response(0)))
+                .as("with a query as well")
                 .isTrue();
-        assertThat(shelf.purgedSince(before, ResponseCache.key("a.example", "/x/12"), copy(0)))
+        assertThat(cache.purgedSince(before, ResponseCache.key("a.example", "/x/12"), response(0)))
                 .isFalse();
         for (int i = 0; i < 5_000; i++) {
-            shelf.purge(new PurgeRequest("n" + i, "b.example", "/" + i, ""));
+            cache.purge(new PurgeRequest("n" + i, "b.example", "/" + i, ""));
         }
-        assertThat(shelf.purgedSince(after, KEY, copy(0)))
+        assertThat(cache.purgedSince(after, KEY, response(0)))
                 .as("more purges than are remembered")
                 .isTrue();
     }
 
     @Test
-    void copiesAreHeldWithinTheirRoomAndPurgedByTag() {
-        ResponseCache shelf = new ResponseCache(100_000);
+    void cacheStaysWithinItsSizeAndIsPurgedByTag() {
+        ResponseCache cache = new ResponseCache(100_000);
         for (int i = 0; i < 1_000; i++) {
-            shelf.put("k" + i, copy(0, i % 2 == 0 ? "even" : "odd"));
-            assertThat(shelf.bytes()).isLessThanOrEqualTo(100_000);
+            cache.put("k" + i, response(0, i % 2 == 0 ? "even" : "odd"));
+            assertThat(cache.bytes()).isLessThanOrEqualTo(100_000);
         }
-        shelf.purge(new PurgeRequest("t", "", "", "even"));
-        assertThat(shelf.peek("k998")).isNull();
-        assertThat(shelf.peek("k999")).isNotNull();
-        shelf.removeExpired(20_000_000);
-        assertThat(shelf.bytes()).isZero();
+        cache.purge(new PurgeRequest("t", "", "", "even"));
+        assertThat(cache.peek("k998")).isNull();
+        assertThat(cache.peek("k999")).isNotNull();
+        cache.removeExpired(20_000_000);
+        assertThat(cache.bytes()).isZero();
     }
 
     @Test
-    void aHomeThatFailsIsPassedOverAndTriedByOneRequestAtATime() {
+    void failedHomeIsSkippedAndRetriedByOneRequestAtATime() {
         HomeSelector homes = new HomeSelector("self", "here");
         homes.updateEdges(Map.of("self", "there", "other", "here"));
         String key = java.util.stream.IntStream.range(0, 100)
@@ -77,8 +77,8 @@
                 .orElseThrow();
         homes.recordFailure(1_000_000, "other", 900_000);
         assertThat(homes.homeOf(1_100_000, key, false)).isEqualTo("self");
-        assertThat(homes.homeOf(2_000_000, key, false)).as("a trial").isEqualTo("other");
-        assertThat(homes.homeOf(2_000_001, key, false)).as("and only one").isEqualTo("self");
+        assertThat(homes.homeOf(2_000_000, key, false)).as("one trial request").isEqualTo("other");
+        assertThat(homes.homeOf(2_000_001, key, false)).as("only one").isEqualTo("self");
         homes.recordFailure(2_150_000, "other", 2_000_000);
         assertThat(homes.homeOf(2_700_000, key, false))
                 .as("for longer after another failure")
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aHomeThatAnswersOthersMeanwhileIsSlowAndNotSilent() {
+    void homeThatAnswersOtherRequestsIsNotSilent() {
         HomeSelector homes = new HomeSelector("self", "here");
         homes.updateEdges(Map.of("self", "there", "other", "here"));
         homes.recordAnswer(1_500_000, "other");
@@ -99,7 +99,7 @@
     }
 
     @Test
-    void aZonesHomesAreInTheZone() {
+    void homesPerZoneAreInTheOwnZone() {
         HomeSelector homes = new HomeSelector("self", "here");
         homes.updateEdges(Map.of("self", "here", "far", "there"));
         for (int i = 0; i < 50; i++) {
@@ -108,19 +108,19 @@
     }
 
     @Test
-    void noWindowHoldsMoreThanTheCeilingThroughAnotherLifeToo() {
-        double part = 100.0 / 4;
-        double rights = OriginPermits.permitsPerWindow(part, 5_000_000);
+    void noWindowExceedsTheLimitAcrossARestart() {
+        double edgeRate = 100.0 / 4;
+        double permits = OriginPermits.permitsPerWindow(edgeRate, 5_000_000);
         long[] taken = new long[10_000];
         int count = 0;
-        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5_000_000, 0);
+        SlidingWindowLimiter limiter = new SlidingWindowLimiter(5_000_000, 0);
         for (long now = 20_000_000; now < 50_000_000; now += 7_000) {
             if (now == 20_000_000 + 7_000 * 2_000) {
-                now += 800_000; // killed, and back, and it has forgotten all
-                ceiling = new SlidingWindowLimiter(5_000_000, now);
+                now += 800_000; // killed and restarted without any state
+                limiter = new SlidingWindowLimiter(5_000_000, now);
             }
-            boolean pause = now > 26_000_000 && now < 31_000_000; // then all at once, just before the end of that life
-            if (!pause && ceiling.tryAcquire(now, rights, false)) {
+            boolean pause = now > 26_000_000 && now < 31_000_000; // then all at once, just before that process ends
+            if (!pause && limiter.tryAcquire(now, permits, false)) {
                 taken[count++] = now;
             }
         }
@@ -129,58 +129,58 @@
             long inWindow = java.util.Arrays.stream(taken, 0, count)
                     .filter(at -> at >= taken[from] && at < taken[from] + 5_000_000)
                     .count();
-            assertThat((double) inWindow).as("from " + taken[from]).isLessThanOrEqualTo(part * 5 * 1.1);
+            assertThat((double) inWindow).as("from " + taken[from]).isLessThanOrEqualTo(edgeRate * 5 * 1.1);
         }
-        assertThat(count).as("and not much less than it").isGreaterThan((int) (25 * part * 0.7));
+        assertThat(count).as("not much below the limit").isGreaterThan((int) (25 * edgeRate * 0.7));
     }
 
     @Test
-    void whoIsRefusedIsToldWhenThereIsRoom() {
-        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5_000_000, 0);
+    void refusalTellsWhenThePermitIsAvailable() {
+        SlidingWindowLimiter limiter = new SlidingWindowLimiter(5_000_000, 0);
         long now = 100_000_000;
         long last = now;
-        double rights = OriginPermits.permitsPerWindow(10, 5_000_000);
+        double permits = OriginPermits.permitsPerWindow(10, 5_000_000);
         for (; now < 104_000_000; now += 1_000) {
-            last = ceiling.tryAcquire(now, rights, false) ? now : last;
+            last = limiter.tryAcquire(now, permits, false) ? now : last;
         }
-        long in = ceiling.microsUntilAvailable(now, rights);
+        long in = limiter.microsUntilAvailable(now, permits);
         assertThat(in).isBetween(1_000_000L, 2_000_000L);
-        assertThat(ceiling.tryAcquire(now + in - 600_000, rights, false)).isFalse();
-        assertThat(ceiling.tryAcquire(now + in, rights, false)).isTrue();
+        assertThat(limiter.tryAcquire(now + in - 600_000, permits, false)).isFalse();
+        assertThat(limiter.tryAcquire(now + in, permits, false)).isTrue();
     }
 
     @Test
-    void patienceFollowsWhatAnswersTake() {
-        ResponseTimeoutEstimator patience = new ResponseTimeoutEstimator();
+    void timeoutFollowsResponseTimes() {
+        ResponseTimeoutEstimator estimator = new ResponseTimeoutEstimator();
         for (int i = 0; i < 100; i++) {
-            patience.recordResponse(5_000);
+            estimator.recordResponse(5_000);
         }
-        assertThat(patience.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MIN_MICROS);
+        assertThat(estimator.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MIN_MICROS);
         for (int i = 0; i < 100; i++) {
-            patience.recordResponse(i % 2 == 0 ? 20_000 : 200_000);
+            estimator.recordResponse(i % 2 == 0 ? 20_000 : 200_000);
         }
-        assertThat(patience.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MAX_MICROS);
+        assertThat(estimator.timeoutMicros(0)).isEqualTo(ResponseTimeoutEstimator.MAX_MICROS);
         assertThat(new ResponseTimeoutEstimator().timeoutMicros(600_000))
-                .as("a home that fetches is waited for while that is of use")
+                .as("a home that fetches is waited for while its answer is useful")
                 .isEqualTo(720_000);
     }
 
     @Test
-    void whereFewFetchTheyAreTheHomesOfAllAndAllAgree() {
+    void allEdgesAgreeOnFetchersAsHomes() {
         Map<String, String> edges = new java.util.HashMap<>();
         for (int i = 0; i < 40; i++) {
             edges.put("e" + i, "z" + i % 3);
         }
         java.util.Set<String> homes = new java.util.HashSet<>();
         for (int k = 0; k < 400; k++) {
-            java.util.Set<String> told = new java.util.HashSet<>();
+            java.util.Set<String> selected = new java.util.HashSet<>();
             for (String edge : edges.keySet()) {
                 HomeSelector mine = new HomeSelector(edge, edges.get(edge));
                 mine.updateEdges(edges);
-                told.add(mine.homeOf(0, "k" + k, false, "objects", 10));
+                selected.add(mine.homeOf(0, "k" + k, false, "objects", 10));
             }
-            assertThat(told).as("all agree on k" + k).hasSize(1);
-            homes.addAll(told);
+            assertThat(selected).as("all agree on k" + k).hasSize(1);
+            homes.addAll(selected);
         }
         assertThat(homes).hasSize(10);
         long fetching = edges.keySet().stream()
--- a/src/test/java/gorsemast/cache/FetchInvariantsTest.java
+++ b/src/test/java/gorsemast/cache/FetchInvariantsTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Each invariant is found violated where what carries requests out breaks its word. */
+/** Each invariant's violation is detected when the sources break their contract. */
 class FetchInvariantsTest implements ObjectSources<String> {
     private static final Route ROUTE = new Route(
             "r",
@@ -23,11 +23,11 @@
             List.of(new Route.WeightedService("s", 1)),
             2,
             10_000_000);
-    private static final ObjectRequest WANTED = new ObjectRequest(ROUTE, "h", "/o/1");
+    private static final ObjectRequest OBJECT = new ObjectRequest(ROUTE, "h", "/o/1");
 
-    private final List<ServerResponseListener<String>> fetched = new ArrayList<>();
+    private final List<ServerResponseListener<String>> serverRequests = new ArrayList<>();
     private long now = 100_000_000;
-    private final FetchCoordinator<String> fetching = new FetchCoordinator<>(
+    private final FetchCoordinator<String> coordinator = new FetchCoordinator<>(
             "e",
             () -> now,
             new ResponseCache(1 << 20),
@@ -37,94 +37,98 @@
             Double.POSITIVE_INFINITY,
             1,
             this);
-    private int told;
+    private int outcomes;
 
     @BeforeEach
-    void longAfterTheStart() {
-        now += 10_000_000; // a process that has just started counts as if its last life had spent its rights
+    void advancePastTheFirstWindow() {
+        now += 10_000_000; // a process that has just started counts its permits as spent by the previous process
     }
 
-    private void ask() {
-        fetching.request(WANTED, FetchCoordinator.HOP_CLIENT, now + 1_000_000, new ObjectWaiter<>() {
+    private void request() {
+        coordinator.request(OBJECT, FetchCoordinator.HOP_CLIENT, now + 1_000_000, new ObjectWaiter<>() {
             @Override
-            public void onResponse(CachedResponse copy, boolean once) {
-                told++;
+            public void onResponse(CachedResponse response, boolean onceOnly) {
+                outcomes++;
             }
 
             @Override
             public void onUncacheable(String answer) {
-                told++;
+                outcomes++;
             }
 
             @Override
             public void onRefused(long retryAfterMicros) {
-                told++;
+                outcomes++;
             }
 
             @Override
             public void onFailed() {
-                told++;
+                outcomes++;
             }
 
             @Override
             public void onTooLong() {
-                told++;
+                outcomes++;
             }
 
             @Override
             public void onStillFetching() {
-                told++;
+                outcomes++;
             }
         });
     }
 
-    private long violations(FetchInvariants.Violation what) {
-        fetching.checkInvariants();
-        return fetching.invariants().count(what);
+    private long violations(FetchInvariants.Violation violation) {
+        coordinator.checkInvariants();
+        return coordinator.invariants().count(violation);
     }
 
     @Test
-    void aSecondAnswerIsDroppedAndCounted() {
-        ask();
-        CachedResponse copy = new CachedResponse(200, List.of(), new byte[1], Set.of(), now, 10_000_000);
-        fetched.get(0).onResponse(copy);
-        assertThat(fetching.invariants().total()).isZero();
-        fetched.get(0).onFailed();
-        assertThat(told).isEqualTo(1);
+    void secondAnswerIsDroppedAndCounted() {
+        request();
+        CachedResponse response = new CachedResponse(200, List.of(), new byte[1], Set.of(), now, 10_000_000);
+        serverRequests.get(0).onResponse(response);
+        assertThat(coordinator.invariants().total()).isZero();
+        serverRequests.get(0).onFailed();
+        assertThat(outcomes).isEqualTo(1);
         assertThat(violations(FetchInvariants.Violation.ENDED_TWICE)).isEqualTo(1);
-        assertThat(fetching.invariants().describe()).isEqualTo("ended twice 1");
+        assertThat(coordinator.invariants().describe()).isEqualTo("ended twice 1");
     }
 
     @Test
-    void aFetchThatNeverEndsIsFound() {
-        ask();
+    void fetchThatNeverEndsIsDetected() {
+        request();
         now += 4_000_000;
         assertThat(violations(FetchInvariants.Violation.NEVER_ENDED)).isZero();
         now += 60_000_000;
         assertThat(violations(FetchInvariants.Violation.NEVER_ENDED))
-                .as("a process that was stopped has its timers late")
+                .as("a process that was suspended finds its timers late")
                 .isZero();
         for (int i = 0; i < 30; i++) {
-            fetching.checkInvariants();
+            coordinator.checkInvariants();
         }
         assertThat(violations(FetchInvariants.Violation.NEVER_ENDED)).isEqualTo(1);
     }
 
     @Test
-    void aRightThatIsNotSettledIsFound() {
-        fetching.permits().tryAcquire("s", false);
+    void unsettledPermitIsDetected() {
+        coordinator.permits().tryAcquire("s", false);
         assertThat(violations(FetchInvariants.Violation.RIGHT_UNSETTLED)).isEqualTo(1);
     }
 
     @Override
-    public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
-        throw new IllegalStateException("the only edge");
+    public void requestFromEdge(HomeRequest request, HomeResponseListener<String> listener) {
+        throw new IllegalStateException("there is no other edge");
     }
 
     @Override
     public boolean requestFromServers(
-            String service, ObjectRequest what, long asked, long giveUp, ServerResponseListener<String> ending) {
-        fetched.add(ending);
+            String service,
+            ObjectRequest object,
+            long requestedAt,
+            long deadline,
+            ServerResponseListener<String> listener) {
+        serverRequests.add(listener);
         return true;
     }
 
@@ -135,7 +139,7 @@
 
     @Override
     public void schedule(long micros, Runnable task) {
-        // nothing waits here
+        // no test waits
     }
 
     @Override
--- a/src/test/java/gorsemast/cache/FetchingTest.java
+++ b/src/test/java/gorsemast/cache/FetchingTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Where objects come from, with homes and servers that answer when the test says so. */
+/** Tests where objects are fetched from, with homes and servers that answer on the test's command. */
 class FetchingTest implements ObjectSources<String> {
     private static final long TTL = 10_000_000;
     private static final Route ROUTE = new Route(
@@ -30,82 +30,83 @@
             2,
             TTL);
 
-    private record Later(long at, Runnable task) {}
+    private record ScheduledTask(long at, Runnable task) {}
 
-    private record Asked(String edge, int hop, long step, HomeResponseListener<String> ending) {}
+    private record EdgeRequest(String edge, int hop, long purgeDigest, HomeResponseListener<String> listener) {}
 
-    private final GossipState board = new GossipState();
-    private final ResponseCache shelf = new ResponseCache(1 << 20);
+    private final GossipState gossip = new GossipState();
+    private final ResponseCache cache = new ResponseCache(1 << 20);
     private final HomeSelector homes = new HomeSelector("e0", "z");
-    private final Deque<Asked> asked = new ArrayDeque<>();
-    private final Deque<ServerResponseListener<String>> fetched = new ArrayDeque<>();
-    private final List<Later> later = new ArrayList<>();
-    private final List<String> told = new ArrayList<>();
+    private final Deque<EdgeRequest> edgeRequests = new ArrayDeque<>();
+    private final Deque<ServerResponseListener<String>> serverRequests = new ArrayDeque<>();
+    private final List<ScheduledTask> scheduled = new ArrayList<>();
+    private final List<String> outcomes = new ArrayList<>();
     private long now = 100_000_000;
-    private int fetchers = Integer.MAX_VALUE;
-    private double perSecond = Double.POSITIVE_INFINITY;
-    private FetchCoordinator<String> fetching;
+    private int fetcherCount = Integer.MAX_VALUE;
+    private double serverRatePerSecond = Double.POSITIVE_INFINITY;
+    private FetchCoordinator<String> coordinator;
 
     @BeforeEach
-    void edges() {
+    void setUp() {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < 8; i++) {
             all.put("e" + i, "z");
         }
         homes.updateEdges(all);
-        fetching = new FetchCoordinator<>(
-                "e0", () -> now, shelf, homes, board, 5_000_000, Double.POSITIVE_INFINITY, 1, this);
+        coordinator = new FetchCoordinator<>(
+                "e0", () -> now, cache, homes, gossip, 5_000_000, Double.POSITIVE_INFINITY, 1, this);
     }
 
-    /** An object whose home is this edge, or another one; and whether this edge is to fetch for others. */
-    private ObjectRequest wanted(boolean here) {
+    /** An object whose home is this edge if {@code local}, else another edge. */
+    private ObjectRequest objectWithHome(boolean local) {
         for (int i = 0; ; i++) {
-            ObjectRequest what = new ObjectRequest(ROUTE, "h", "/o/" + i);
-            if (homes.homeOf(now, what.key(), false).equals("e0") == here) {
-                return what;
+            ObjectRequest object = new ObjectRequest(ROUTE, "h", "/o/" + i);
+            if (homes.homeOf(now, object.key(), false).equals("e0") == local) {
+                return object;
             }
         }
     }
 
-    private void ask(ObjectRequest what, int hop) {
-        fetching.request(what, hop, now + 1_000_000, new ObjectWaiter<>() {
+    private void request(ObjectRequest object, int hop) {
+        coordinator.request(object, hop, now + 1_000_000, new ObjectWaiter<>() {
             @Override
-            public void onResponse(CachedResponse copy, boolean once) {
-                told.add(once ? "once" : "here");
+            public void onResponse(CachedResponse copy, boolean onceOnly) {
+                outcomes.add(onceOnly ? "once" : "cached");
             }
 
             @Override
             public void onUncacheable(String answer) {
-                told.add(answer);
+                outcomes.add(answer);
             }
 
             @Override
             public void onRefused(long retryAfterMicros) {
-                told.add("refused " + retryAfterMicros / 1_000_000);
+                outcomes.add("refused " + retryAfterMicros / 1_000_000);
             }
 
             @Override
             public void onFailed() {
-                told.add("failed");
+                outcomes.add("failed");
             }
 
             @Override
             public void onTooLong() {
-                told.add("long");
+                outcomes.add("long");
             }
 
             @Override
             public void onStillFetching() {
-                told.add("in hand");
+                outcomes.add("still fetching");
             }
         });
     }
 
-    /** Time passes, and what was to be done meanwhile is done. */
-    private void pass(long micros) {
+    /** Advances the clock and runs the tasks that become due. */
+    private void advance(long micros) {
         now += micros;
-        List<Later> due = later.stream().filter(one -> one.at <= now).toList();
-        later.removeAll(due);
+        List<ScheduledTask> due =
+                scheduled.stream().filter(one -> one.at <= now).toList();
+        scheduled.removeAll(due);
         due.forEach(one -> one.task.run());
     }
 
@@ -114,190 +115,196 @@
     }
 
     @Test
-    void allWhoAskMeanwhileHaveOneFetch() {
-        ObjectRequest what = wanted(true);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        ask(what, FetchCoordinator.HOP_HOME);
-        assertThat(fetched).hasSize(1);
-        fetched.poll().onResponse(copy());
-        assertThat(told).containsExactly("here", "here");
-        assertThat(fetching.lookUp(what)).isNotNull();
+    void concurrentRequestsShareOneFetch() {
+        ObjectRequest object = objectWithHome(true);
+        request(object, FetchCoordinator.HOP_CLIENT);
+        request(object, FetchCoordinator.HOP_HOME);
+        assertThat(serverRequests).hasSize(1);
+        serverRequests.poll().onResponse(copy());
+        assertThat(outcomes).containsExactly("cached", "cached");
+        assertThat(coordinator.lookUp(object)).isNotNull();
     }
 
     @Test
-    void whatWasAskedForBeforeAPurgeIsNotHeldAfterIt() {
-        ObjectRequest what = wanted(true);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        fetching.applyPurge(new PurgeRequest("p", "", "", "red").toEntry(now));
-        fetched.poll().onResponse(copy());
-        assertThat(told).containsExactly("once");
-        assertThat(fetching.lookUp(what)).isNull();
+    void responseRequestedBeforeAPurgeIsNotCached() {
+        ObjectRequest object = objectWithHome(true);
+        request(object, FetchCoordinator.HOP_CLIENT);
+        coordinator.applyPurge(new PurgeRequest("p", "", "", "red").toEntry(now));
+        serverRequests.poll().onResponse(copy());
+        assertThat(outcomes).containsExactly("once");
+        assertThat(coordinator.lookUp(object)).isNull();
     }
 
     @Test
-    void whoAsksAfterAPurgeByPathGetsAnotherFetch() {
-        ObjectRequest what = wanted(true);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        fetching.applyPurge(new PurgeRequest("p", "h", what.uri(), "").toEntry(now));
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        assertThat(fetched).hasSize(2);
-        fetched.pollLast().onResponse(copy());
-        assertThat(told).containsExactly("here");
-        fetched.poll().onResponse(copy());
-        assertThat(told).containsExactly("here", "once");
+    void requestAfterAPurgeByPathStartsAnotherFetch() {
+        ObjectRequest object = objectWithHome(true);
+        request(object, FetchCoordinator.HOP_CLIENT);
+        coordinator.applyPurge(new PurgeRequest("p", "h", object.uri(), "").toEntry(now));
+        request(object, FetchCoordinator.HOP_CLIENT);
+        assertThat(serverRequests).hasSize(2);
+        serverRequests.pollLast().onResponse(copy());
+        assertThat(outcomes).containsExactly("cached");
+        serverRequests.poll().onResponse(copy());
+        assertThat(outcomes).containsExactly("cached", "once");
     }
 
     @Test
-    void aHomeIsAskedWithWhatIsKnownOfPurgesAndPassedOverWhenSilent() {
-        ObjectRequest what = wanted(false);
-        board.merge(now, new PurgeRequest("p", "h", "/other", "").toEntry(now));
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        Asked first = asked.poll();
+    void homeRequestCarriesPurgeDigestAndSilentHomeIsSkipped() {
+        ObjectRequest object = objectWithHome(false);
+        gossip.merge(now, new PurgeRequest("p", "h", "/other", "").toEntry(now));
+        request(object, FetchCoordinator.HOP_CLIENT);
+        EdgeRequest first = edgeRequests.poll();
         assertThat(first.hop).isEqualTo(FetchCoordinator.HOP_HOME);
-        assertThat(first.step).isEqualTo(board.purgeDigest()).isNotZero();
-        first.ending.onSilent(false);
-        Asked second = asked.poll();
+        assertThat(first.purgeDigest).isEqualTo(gossip.purgeDigest()).isNotZero();
+        first.listener.onSilent(false);
+        EdgeRequest second = edgeRequests.poll();
         assertThat(second.hop)
-                .as("as all edges do that have passed the first over, so that they find one copy")
+                .as("as all edges that skip the first home ask it, so that they share one response")
                 .isEqualTo(FetchCoordinator.HOP_HOME);
         assertThat(second.edge).isNotEqualTo(first.edge);
-        second.ending.onResponse(copy());
-        assertThat(told).containsExactly("here");
-        assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(second.edge);
+        second.listener.onResponse(copy());
+        assertThat(outcomes).containsExactly("cached");
+        assertThat(homes.homeOf(now, object.key(), false)).isEqualTo(second.edge);
     }
 
     @Test
-    void aHomeThatIsStillFetchingIsAskedAgainAndNotPassedOver() {
-        ObjectRequest what = wanted(false);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        Asked first = asked.poll();
+    void homeThatIsStillFetchingIsAskedAgainAndNotSkipped() {
+        ObjectRequest object = objectWithHome(false);
+        request(object, FetchCoordinator.HOP_CLIENT);
+        EdgeRequest first = edgeRequests.poll();
         for (int i = 0; i < 5; i++) {
             now += 100_000;
-            first.ending.onStillFetching();
-            assertThat(asked).hasSize(1);
-            Asked again = asked.poll();
+            first.listener.onStillFetching();
+            assertThat(edgeRequests).hasSize(1);
+            EdgeRequest again = edgeRequests.poll();
             assertThat(again.edge).isEqualTo(first.edge);
             first = again;
         }
-        first.ending.onResponse(copy());
-        assertThat(told).containsExactly("here");
-        assertThat(homes.homeOf(now, what.key(), false)).isEqualTo(first.edge);
+        first.listener.onResponse(copy());
+        assertThat(outcomes).containsExactly("cached");
+        assertThat(homes.homeOf(now, object.key(), false)).isEqualTo(first.edge);
     }
 
     @Test
-    void whoHasNoTimeToAskAgainIsToldToComeBack() {
-        ask(wanted(false), FetchCoordinator.HOP_CLIENT);
+    void requestWithoutTimeForARetryIsRefused() {
+        request(objectWithHome(false), FetchCoordinator.HOP_CLIENT);
         now += 980_000;
-        asked.poll().ending.onStillFetching();
-        assertThat(asked).isEmpty();
-        assertThat(told).containsExactly("refused 0");
+        edgeRequests.poll().listener.onStillFetching();
+        assertThat(edgeRequests).isEmpty();
+        assertThat(outcomes).containsExactly("refused 0");
     }
 
     @Test
-    void whoAsksAHomeIsAnsweredWithinItsTimeThoughTheFetchGoesOn() {
-        ObjectRequest what = wanted(true);
-        ask(what, FetchCoordinator.HOP_HOME);
-        pass(900_000);
-        assertThat(told).containsExactly("in hand");
-        ask(what, FetchCoordinator.HOP_HOME);
-        assertThat(fetched).as("it joins the same fetch").hasSize(1);
-        fetched.poll().onResponse(copy());
-        assertThat(told).containsExactly("in hand", "here");
-        pass(2_000_000);
-        assertThat(told).as("told once").hasSize(2);
+    void requestingEdgeIsAnsweredInTimeWhileTheFetchContinues() {
+        ObjectRequest object = objectWithHome(true);
+        request(object, FetchCoordinator.HOP_HOME);
+        advance(900_000);
+        assertThat(outcomes).containsExactly("still fetching");
+        request(object, FetchCoordinator.HOP_HOME);
+        assertThat(serverRequests).as("joins the same fetch").hasSize(1);
+        serverRequests.poll().onResponse(copy());
+        assertThat(outcomes).containsExactly("still fetching", "cached");
+        advance(2_000_000);
+        assertThat(outcomes).as("notified once").hasSize(2);
     }
 
     @Test
-    void aRightThatNothingWasSentForIsThereAgain() {
-        perSecond = 3.4; // 16 in a window: two for each of eight edges, one of them within half a second
+    void permitOfAnUnsentRequestIsAvailableAgain() {
+        serverRatePerSecond = 3.4; // 16 in a window: two for each of eight edges, one of them within half a second
         now += 10_000_000;
         for (int i = 0; i < 20; i++) {
-            ask(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_FETCHER);
-            assertThat(fetched).as("the right of the last one is free").hasSize(1);
-            fetched.poll().onNotSent(1);
+            request(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_FETCHER);
+            assertThat(serverRequests)
+                    .as("the last request's permit was released")
+                    .hasSize(1);
+            serverRequests.poll().onNotSent(1);
         }
-        ask(new ObjectRequest(ROUTE, "h", "/o/sent"), FetchCoordinator.HOP_FETCHER);
-        fetched.poll().onRefused(1);
-        ask(new ObjectRequest(ROUTE, "h", "/o/after"), FetchCoordinator.HOP_FETCHER);
-        assertThat(fetched).as("a server may have got that one").isEmpty();
+        request(new ObjectRequest(ROUTE, "h", "/o/sent"), FetchCoordinator.HOP_FETCHER);
+        serverRequests.poll().onRefused(1);
+        request(new ObjectRequest(ROUTE, "h", "/o/after"), FetchCoordinator.HOP_FETCHER);
+        assertThat(serverRequests).as("a server may have received that request").isEmpty();
     }
 
     @Test
-    void whereFewFetchAHomeAsksOneOfThem() {
-        fetchers = 2;
+    void homeAsksAFetcherWhereOnlySomeEdgesFetch() {
+        fetcherCount = 2;
         assertThat(homes.isFetcher("s", 2))
-                .as("what follows is about an edge that does not")
+                .as("precondition: this edge is not a fetcher")
                 .isFalse();
-        ask(wanted(true), FetchCoordinator.HOP_HOME);
-        Asked one = asked.poll();
+        request(objectWithHome(true), FetchCoordinator.HOP_HOME);
+        EdgeRequest one = edgeRequests.poll();
         assertThat(one.hop).isEqualTo(FetchCoordinator.HOP_FETCHER);
-        one.ending.onUnusable();
-        Asked other = asked.poll();
+        one.listener.onUnusable();
+        EdgeRequest other = edgeRequests.poll();
         assertThat(other.hop)
-                .as("not the servers, of which it has hardly a part")
+                .as("another fetcher, as this edge's own share of the servers' rate is small")
                 .isEqualTo(FetchCoordinator.HOP_FETCHER);
-        other.ending.onResponse(copy());
-        assertThat(told).containsExactly("here");
-        ask(wanted(false), FetchCoordinator.HOP_FETCHER);
-        assertThat(fetched).as("who is asked to fetch does").hasSize(1);
+        other.listener.onResponse(copy());
+        assertThat(outcomes).containsExactly("cached");
+        request(objectWithHome(false), FetchCoordinator.HOP_FETCHER);
+        assertThat(serverRequests)
+                .as("an edge asked as a fetcher asks the servers")
+                .hasSize(1);
     }
 
     @Test
-    void whoWaitsForAHomeDoesNotMakeTheHomeWait() {
-        ObjectRequest what = wanted(false);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        assertThat(asked).hasSize(1);
-        ask(what, FetchCoordinator.HOP_FETCHER);
-        assertThat(fetched)
-                .as("the home asks back, and is not to wait for itself")
+    void requestFromTheHomeDoesNotWaitForItself() {
+        ObjectRequest object = objectWithHome(false);
+        request(object, FetchCoordinator.HOP_CLIENT);
+        assertThat(edgeRequests).hasSize(1);
+        request(object, FetchCoordinator.HOP_FETCHER);
+        assertThat(serverRequests)
+                .as("the home asks back and must not wait for itself")
                 .hasSize(1);
-        ask(what, FetchCoordinator.HOP_CLIENT);
-        fetched.poll().onResponse(copy());
-        assertThat(told).containsExactly("here", "here");
+        request(object, FetchCoordinator.HOP_CLIENT);
+        serverRequests.poll().onResponse(copy());
+        assertThat(outcomes).containsExactly("cached", "cached");
     }
 
     @Test
-    void whatFindsNoRoomWaitsWithinItsAimAndIsThenToldWhen() {
-        perSecond = 80; // ten a second for each of eight edges: 47 in a window, seven in half a second
-        now += 10_000_000; // longer than a window after the start
-        for (int i = 0; fetched.size() < 7; i++) {
-            ask(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_HOME);
+    void fetchWithoutPermitWaitsBrieflyOrIsRefused() {
+        serverRatePerSecond = 80; // ten a second for each of eight edges: 47 in a window, seven in half a second
+        now += 10_000_000; // more than a window after the start
+        for (int i = 0; serverRequests.size() < 7; i++) {
+            request(new ObjectRequest(ROUTE, "h", "/o/" + i), FetchCoordinator.HOP_HOME);
         }
-        ask(new ObjectRequest(ROUTE, "h", "/o/more"), FetchCoordinator.HOP_HOME);
-        assertThat(told).as("half a second is more than a part of its aim").containsExactly("refused 0");
-        pass(480_000);
-        told.clear();
-        ask(new ObjectRequest(ROUTE, "h", "/o/waits"), FetchCoordinator.HOP_HOME);
-        assertThat(told).as("20 ms are not").isEmpty();
-        assertThat(fetched).hasSize(7);
-        pass(20_000);
-        assertThat(fetched).hasSize(8);
+        request(new ObjectRequest(ROUTE, "h", "/o/more"), FetchCoordinator.HOP_HOME);
+        assertThat(outcomes)
+                .as("half a second exceeds the permitted part of the target latency")
+                .containsExactly("refused 0");
+        advance(480_000);
+        outcomes.clear();
+        request(new ObjectRequest(ROUTE, "h", "/o/waits"), FetchCoordinator.HOP_HOME);
+        assertThat(outcomes).as("20 ms do not").isEmpty();
+        assertThat(serverRequests).hasSize(7);
+        advance(20_000);
+        assertThat(serverRequests).hasSize(8);
     }
 
     @Override
-    public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
-        asked.add(new Asked(question.edge(), question.hop(), question.purgeDigest(), ending));
+    public void requestFromEdge(HomeRequest request, HomeResponseListener<String> listener) {
+        edgeRequests.add(new EdgeRequest(request.edge(), request.hop(), request.purgeDigest(), listener));
     }
 
     @Override
     public boolean requestFromServers(
-            String service, ObjectRequest what, long at, long giveUp, ServerResponseListener<String> ending) {
-        fetched.add(ending);
+            String service, ObjectRequest object, long at, long deadline, ServerResponseListener<String> listener) {
+        serverRequests.add(listener);
         return true;
     }
 
     @Override
     public double serverRatePerSecond(String service) {
-        return perSecond;
+        return serverRatePerSecond;
     }
 
     @Override
     public void schedule(long micros, Runnable task) {
-        later.add(new Later(now + micros, task));
+        scheduled.add(new ScheduledTask(now + micros, task));
     }
 
     @Override
     public int fetcherCount(String service) {
-        return fetchers;
+        return fetcherCount;
     }
 }
--- a/src/test/java/gorsemast/cache/ObjectFleet.java
+++ b/src/test/java/gorsemast/cache/ObjectFleet.java
@@ -12,97 +12,138 @@
 import java.util.SplittableRandom;
 
 /**
- * Many edges in virtual time, each with its own {@link FetchCoordinator}, before two object servers that bear only so many requests a
- * second. Clients ask for objects by a Zipf distribution and come back once when they are refused. Links out of an edge have a
- * bandwidth, so that large objects hold up what is sent behind them.
+ * Simulates many edges in virtual time, each with its own {@link FetchCoordinator}, in front of two object servers
+ * with a limited request rate. Clients request objects by a Zipf distribution and retry once when they are refused.
+ * Links out of an edge have a bandwidth, so that large objects delay what is sent after them.
  *
- * <p>{@link #ideal} plays the same requests against one cache that all edges share, with all the servers bear: no fleet can
- * serve more by chance alone. One thread; times in microseconds; the same seed gives the same course.
+ * <p>{@link #simulateSharedCache} runs the same requests against one cache shared by all edges, with the servers'
+ * whole rate: no fleet can serve more except by chance. Not thread-safe; times are in microseconds; the same seed
+ * gives the same run.
  */
 final class ObjectFleet {
-    private static final long SECOND = 1_000_000;
-    private static final long START = 100 * SECOND;
-    private static final long HOP = 500;
-    private static final long KILLED_AT = 12 * SECOND;
-    private static final long DOWN = 2_400_000;
-    private static final int OBJECTS = 3_400;
-    private static final int SMALL = 3_000;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long START_MICROS = 100 * SECOND_MICROS;
+    private static final long HOP_MICROS = 500;
+    private static final long KILL_AT_MICROS = 12 * SECOND_MICROS;
+    private static final long RESTART_AFTER_MICROS = 2_400_000;
+    private static final int OBJECT_COUNT = 3_400;
+    private static final int SMALL_OBJECT_COUNT = 3_000;
     private static final int SERVER_CONNECTIONS = 65;
     private static final double BITS_PER_BYTE = 8;
-    /** An answer without a body. */
+    /** Size of an answer without a body. */
     private static final int HEAD_BYTES = 200;
-    /** Of the time that a client has left, so much of what it is told to wait it waits at most. */
-    private static final double HEEDS = 1.0 / 3;
+    /** A client waits for at most this part of its remaining time, whatever retry time it gets. */
+    private static final double MAX_WAIT_RATIO = 1.0 / 3;
 
-    private static final long WORK = 120_000;
-    private static final double[] SPEEDS = {0.6, 1.4};
-    private static final Route NOTICES = route("n", 300_000, 4 * SECOND, 40 * SECOND);
-    private static final Route TABLES = route("t", 600_000, 6 * SECOND, 20 * SECOND);
+    private static final long SERVER_WORK_MICROS = 120_000;
+    private static final double[] SERVER_SPEEDS = {0.6, 1.4};
+    private static final Route NOTICES = route("n", 300_000, 4 * SECOND_MICROS, 40 * SECOND_MICROS);
+    private static final Route TABLES = route("t", 600_000, 6 * SECOND_MICROS, 20 * SECOND_MICROS);
 
-    /** How a fleet is set up. */
+    /** Parameters of a simulated fleet. */
     record Setup(
             int edges,
-            double requests,
-            double perSecond,
-            double linkBits,
-            double unsent,
-            double killed,
+            double requestsPerSecond,
+            double serverRatePerSecond,
+            double linkBitsPerSecond,
+            double unsentRatio,
+            double killedRatio,
             long seconds,
-            boolean spreads,
+            boolean spreadHotObjects,
             long seed) {
-        /** The twin of a grown deployment: what servers bear is a sixth of what is asked. */
-        static Setup twin(long seed) {
+        /** A large deployment scaled down: the servers' rate is a sixth of the request rate. */
+        static Setup scaledDown(long seed) {
             return new Setup(15, 112, 19.1, 7.7e6, 0, 0, 30, true, seed);
         }
 
-        /** The same where the decision modules refuse this part of the fetches without sending them. */
-        Setup refusing(double part) {
-            return new Setup(edges, requests, perSecond, linkBits, part, killed, seconds, spreads, seed);
-        }
-
-        /** The same where this part of the edges is killed once and comes back. */
-        Setup killing(double part) {
-            return new Setup(edges, requests, perSecond, linkBits, unsent, part, seconds, spreads, seed);
-        }
-
-        /** The same where servers bear so much less. */
-        Setup bearing(double part) {
-            return new Setup(edges, requests, perSecond * part, linkBits, unsent, killed, seconds, spreads, seed);
-        }
-
-        /** Many edges whose clients ask for long objects that live for 20 s, over narrow links, and servers that bear much. */
-        static Setup popular(long seed) {
+        /** The same, with decision modules that refuse this part of the fetches without sending them. */
+        Setup withUnsent(double part) {
+            return new Setup(
+                    edges,
+                    requestsPerSecond,
+                    serverRatePerSecond,
+                    linkBitsPerSecond,
+                    part,
+                    killedRatio,
+                    seconds,
+                    spreadHotObjects,
+                    seed);
+        }
+
+        /** The same, with this part of the edges killed once and restarted. */
+        Setup withKilled(double part) {
+            return new Setup(
+                    edges,
+                    requestsPerSecond,
+                    serverRatePerSecond,
+                    linkBitsPerSecond,
+                    unsentRatio,
+                    part,
+                    seconds,
+                    spreadHotObjects,
+                    seed);
+        }
+
+        /** The same, with the servers' rate multiplied by this factor. */
+        Setup withServerRate(double part) {
+            return new Setup(
+                    edges,
+                    requestsPerSecond,
+                    serverRatePerSecond * part,
+                    linkBitsPerSecond,
+                    unsentRatio,
+                    killedRatio,
+                    seconds,
+                    spreadHotObjects,
+                    seed);
+        }
+
+        /**
+         * Many edges whose clients request large objects with a lifetime of 20 s, narrow links, and servers with a
+         * high rate.
+         */
+        static Setup popularObjects(long seed) {
             return new Setup(65, 900, 300, 8.4e6, 0, 0, 60, true, seed);
         }
 
-        /** The same where each object has one home. */
+        /** The same, with one home for each object. */
         Setup withoutSpreading() {
-            return new Setup(edges, requests, perSecond, linkBits, unsent, killed, seconds, false, seed);
-        }
-
-        /** At the size of a grown deployment. */
-        Setup grown() {
-            return new Setup(85, 640, 126, linkBits, unsent, killed, seconds, spreads, seed);
+            return new Setup(
+                    edges,
+                    requestsPerSecond,
+                    serverRatePerSecond,
+                    linkBitsPerSecond,
+                    unsentRatio,
+                    killedRatio,
+                    seconds,
+                    false,
+                    seed);
+        }
+
+        /** The same, at the size of a large deployment. */
+        Setup fullSize() {
+            return new Setup(
+                    85, 640, 126, linkBitsPerSecond, unsentRatio, killedRatio, seconds, spreadHotObjects, seed);
         }
     }
 
-    /** What clients got; {@code duplicates} are fetches of what a sound copy was held of somewhere. */
+    /** What clients got; {@code duplicates} are fetches of objects for which some edge held a valid response. */
     record Result(
-            long asked,
+            long requested,
             long served,
-            long inAim,
-            long arrivals,
+            long inTarget,
+            long serverRequests,
             long duplicates,
-            long passedOver,
-            long mostInWindow,
+            long skippedEdges,
+            long maxInWindow,
             long violations,
             double busiestLink) {
-        double share() {
-            return (double) served / asked;
+        double servedRatio() {
+            return (double) served / requested;
         }
 
-        double aimShare() {
-            return (double) inAim / asked;
+        double inTargetRatio() {
+            return (double) inTarget / requested;
         }
     }
 
@@ -113,32 +154,33 @@
         }
     }
 
-    private record Ask(ObjectRequest what, long begun, boolean again) {}
+    private record ClientRequest(ObjectRequest object, long startedAt, boolean isRetry) {}
 
     private final Setup setup;
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
-    private final double[] cumulated = new double[OBJECTS];
+    private final double[] cumulativeWeights = new double[OBJECT_COUNT];
     private final List<Edge> edges = new ArrayList<>();
-    private final Map<String, Edge> byName = new HashMap<>();
+    private final Map<String, Edge> edgesByName = new HashMap<>();
     private final Map<String, Long> fetchedAt = new HashMap<>();
-    private final List<Long> arrivals = new ArrayList<>();
-    private long now = START;
-    private long order;
-    private long asked;
+    private final List<Long> serverRequests = new ArrayList<>();
+    private long now = START_MICROS;
+    private long nextOrder;
+    private long requested;
     private long served;
-    private long inAim;
+    private long inTarget;
     private long duplicates;
 
     private ObjectFleet(Setup setup) {
         this.setup = setup;
         this.random = new SplittableRandom(setup.seed());
-        double notices = 0;
-        for (int i = 0; i < OBJECTS; i++) {
-            boolean small = i < SMALL;
-            double weight = (small ? 0.77 : 0.23) / harmonic(small ? SMALL : OBJECTS - SMALL);
-            notices += weight / (small ? i + 1 : i - SMALL + 1);
-            cumulated[i] = notices;
+        double cumulative = 0;
+        for (int i = 0; i < OBJECT_COUNT; i++) {
+            boolean small = i < SMALL_OBJECT_COUNT;
+            double weight =
+                    (small ? 0.77 : 0.23) / harmonic(small ? SMALL_OBJECT_COUNT : OBJECT_COUNT - SMALL_OBJECT_COUNT);
+            cumulative += weight / (small ? i + 1 : i - SMALL_OBJECT_COUNT + 1);
+            cumulativeWeights[i] = cumulative;
         }
     }
 
@@ -150,13 +192,14 @@
         return sum;
     }
 
-    private static Route route(String name, long aim, long timeout, long ttl) {
-        List<Route.WeightedService> to = List.of(new Route.WeightedService("s", 1));
-        return new Route(name, "h", "/" + name + "/", Route.Kind.CACHEABLE, timeout, aim, 1, to, 2, ttl);
+    private static Route route(String name, long targetLatency, long timeout, long ttl) {
+        List<Route.WeightedService> services = List.of(new Route.WeightedService("s", 1));
+        return new Route(
+                name, "h", "/" + name + "/", Route.Kind.CACHEABLE, timeout, targetLatency, 1, services, 2, ttl);
     }
 
-    /** Plays a fleet. */
-    static Result play(Setup setup) {
+    /** Runs a fleet. */
+    static Result simulate(Setup setup) {
         ObjectFleet fleet = new ObjectFleet(setup);
         Map<String, String> names = new HashMap<>();
         for (int i = 0; i < setup.edges(); i++) {
@@ -165,94 +208,108 @@
         names.forEach((name, zone) -> {
             Edge edge = fleet.new Edge(name, zone, names);
             fleet.edges.add(edge);
-            fleet.byName.put(name, edge);
+            fleet.edgesByName.put(name, edge);
         });
-        fleet.clients(fleet::client);
-        if (setup.killed() > 0) {
-            fleet.after(KILLED_AT, () -> fleet.kill(names));
+        fleet.scheduleClients(fleet::client);
+        if (setup.killedRatio() > 0) {
+            fleet.after(KILL_AT_MICROS, () -> fleet.kill(names));
         }
         fleet.run();
         return fleet.result();
     }
 
-    /** Some of the edges end at once, and come back as new processes; everybody knows of both at once. */
+    /** Kills some edges at once and restarts them as new processes; all edges learn of both immediately. */
     private void kill(Map<String, String> names) {
-        List<Edge> ended = edges.subList(0, (int) (setup.killed() * edges.size()));
-        Map<String, String> left = new HashMap<>(names);
-        for (Edge edge : ended) {
-            edge.ended = true;
-            left.remove(edge.name);
-            byName.remove(edge.name);
-        }
-        List<String> back = ended.stream().map(edge -> edge.name).toList();
-        ended.clear();
-        edges.forEach(edge -> edge.homes.updateEdges(left));
-        after(DOWN, () -> {
-            back.forEach(name -> {
+        List<Edge> stopped = edges.subList(0, (int) (setup.killedRatio() * edges.size()));
+        Map<String, String> remaining = new HashMap<>(names);
+        for (Edge edge : stopped) {
+            edge.stopped = true;
+            remaining.remove(edge.name);
+            edgesByName.remove(edge.name);
+        }
+        List<String> restarted = stopped.stream().map(edge -> edge.name).toList();
+        stopped.clear();
+        edges.forEach(edge -> edge.homes.updateEdges(remaining));
+        after(RESTART_AFTER_MICROS, () -> {
+            restarted.forEach(name -> {
                 Edge edge = new Edge(name, names.get(name), names);
                 edges.add(edge);
-                byName.put(name, edge);
+                edgesByName.put(name, edge);
             });
             edges.forEach(edge -> edge.homes.updateEdges(names));
         });
     }
 
-    /** Plays the same requests against one cache with all that the servers bear. */
-    static Result ideal(Setup setup) {
+    /** Runs the same requests against one shared cache with the servers' whole rate. */
+    static Result simulateSharedCache(Setup setup) {
         ObjectFleet fleet = new ObjectFleet(setup);
-        Map<String, Long> held = new HashMap<>();
-        SlidingWindowLimiter ceiling = new SlidingWindowLimiter(5 * SECOND, 0);
-        fleet.clients(ask -> fleet.askIdeal(ask, held, ceiling));
+        Map<String, Long> cachedAt = new HashMap<>();
+        SlidingWindowLimiter limiter = new SlidingWindowLimiter(5 * SECOND_MICROS, 0);
+        fleet.scheduleClients(request -> fleet.requestFromSharedCache(request, cachedAt, limiter));
         fleet.run();
         return fleet.result();
     }
 
-    private void askIdeal(Ask ask, Map<String, Long> held, SlidingWindowLimiter ceiling) {
-        Long since = held.get(ask.what.key());
-        boolean fresh = since != null && now - since < ask.what.route().ttlMicros();
-        if (!fresh && ceiling.tryAcquire(now, OriginPermits.permitsPerWindow(setup.perSecond(), 5 * SECOND), false)) {
-            held.put(ask.what.key(), now);
-            arrivals.add(now);
+    private void requestFromSharedCache(
+            ClientRequest request, Map<String, Long> cachedAt, SlidingWindowLimiter limiter) {
+        Long since = cachedAt.get(request.object.key());
+        boolean fresh = since != null && now - since < request.object.route().ttlMicros();
+        if (!fresh
+                && limiter.tryAcquire(
+                        now, OriginPermits.permitsPerWindow(setup.serverRatePerSecond(), 5 * SECOND_MICROS), false)) {
+            cachedAt.put(request.object.key(), now);
+            serverRequests.add(now);
             fresh = true;
         }
         if (fresh) {
             served++;
-            inAim++;
-        } else if (!ask.again) {
-            after(SECOND / 2, () -> askIdeal(new Ask(ask.what, ask.begun, true), held, ceiling));
+            inTarget++;
+        } else if (!request.isRetry) {
+            after(
+                    SECOND_MICROS / 2,
+                    () -> requestFromSharedCache(
+                            new ClientRequest(request.object, request.startedAt, true), cachedAt, limiter));
         }
     }
 
     private Result result() {
-        long passed = edges.stream()
-                .mapToLong(edge -> edge.fetching.counters().of(FetchEvent.PASSED_OVER))
+        long skipped = edges.stream()
+                .mapToLong(edge -> edge.coordinator.counters().of(FetchEvent.PASSED_OVER))
                 .sum();
-        edges.forEach(edge -> edge.fetching.checkInvariants());
+        edges.forEach(edge -> edge.coordinator.checkInvariants());
         long violations = edges.stream()
-                .mapToLong(edge -> edge.fetching.invariants().total())
+                .mapToLong(edge -> edge.coordinator.invariants().total())
                 .sum();
-        double busiest =
-                edges.stream().mapToLong(edge -> edge.sentBetween).max().orElse(0)
+        double busiestLink =
+                edges.stream().mapToLong(edge -> edge.bytesToEdges).max().orElse(0)
                         * BITS_PER_BYTE
-                        / (setup.linkBits() * setup.seconds());
+                        / (setup.linkBitsPerSecond() * setup.seconds());
         return new Result(
-                asked, served, inAim, arrivals.size(), duplicates, passed, mostInWindow(), violations, busiest);
+                requested,
+                served,
+                inTarget,
+                serverRequests.size(),
+                duplicates,
+                skipped,
+                maxInWindow(),
+                violations,
+                busiestLink);
     }
 
-    private long mostInWindow() {
-        long most = 0;
+    private long maxInWindow() {
+        long max = 0;
         int first = 0;
-        for (int last = 0; last < arrivals.size(); last++) {
-            while (arrivals.get(last) - arrivals.get(first) >= 5 * SECOND) {
+        for (int last = 0; last < serverRequests.size(); last++) {
+            while (serverRequests.get(last) - serverRequests.get(first) >= 5 * SECOND_MICROS) {
                 first++;
             }
-            most = Math.max(most, last - first + 1);
+            max = Math.max(max, last - first + 1);
         }
-        return most;
+        return max;
     }
 
     private void after(long micros, Runnable task) {
-        events.add(new Event(now + Math.max(0, micros), order++, task));
+        events.add(new Event(now + Math.max(0, micros), nextOrder++, task));
     }
 
     private void run() {
@@ -265,57 +322,57 @@
 
     // ---- clients
 
-    private interface Asks {
-        void ask(Ask ask);
+    private interface ClientRequestHandler {
+        void request(ClientRequest request);
     }
 
-    private void clients(Asks asks) {
+    private void scheduleClients(ClientRequestHandler handler) {
         SplittableRandom draws = new SplittableRandom(setup.seed() + 1);
         long at = 0;
-        while (at < setup.seconds() * SECOND) {
-            at += (long) (-Math.log(1 - draws.nextDouble()) / setup.requests() * SECOND);
-            ObjectRequest what = object(draws.nextDouble());
-            long begun = START + at;
+        while (at < setup.seconds() * SECOND_MICROS) {
+            at += (long) (-Math.log(1 - draws.nextDouble()) / setup.requestsPerSecond() * SECOND_MICROS);
+            ObjectRequest object = object(draws.nextDouble());
+            long startedAt = START_MICROS + at;
             after(at, () -> {
-                asked++;
-                asks.ask(new Ask(what, begun, false));
+                requested++;
+                handler.request(new ClientRequest(object, startedAt, false));
             });
         }
     }
 
     private ObjectRequest object(double draw) {
         int low = 0;
-        int high = OBJECTS - 1;
+        int high = OBJECT_COUNT - 1;
         while (low < high) {
             int middle = (low + high) / 2;
-            if (cumulated[middle] < draw) {
+            if (cumulativeWeights[middle] < draw) {
                 low = middle + 1;
             } else {
                 high = middle;
             }
         }
-        Route route = low < SMALL ? NOTICES : TABLES;
+        Route route = low < SMALL_OBJECT_COUNT ? NOTICES : TABLES;
         return new ObjectRequest(route, "h", route.prefix() + low);
     }
 
-    private void client(Ask ask) {
-        edges.get(random.nextInt(edges.size())).client(ask);
+    private void client(ClientRequest request) {
+        edges.get(random.nextInt(edges.size())).client(request);
     }
 
-    private void over(Ask ask, boolean success, long retryAfter) {
-        Route route = ask.what.route();
-        long left = ask.begun + route.timeoutMicros() - now;
-        if (success && left > 0) {
+    private void finish(ClientRequest request, boolean success, long retryAfter) {
+        Route route = request.object.route();
+        long remaining = request.startedAt + route.timeoutMicros() - now;
+        if (success && remaining > 0) {
             served++;
-            inAim += now - ask.begun <= route.targetLatencyMicros() ? 1 : 0;
-        } else if (!success && !ask.again && left > 0) {
-            long waits = Math.min(retryAfter, (long) (HEEDS * left));
-            after(waits + 2_000, () -> client(new Ask(ask.what, ask.begun, true)));
+            inTarget += now - request.startedAt <= route.targetLatencyMicros() ? 1 : 0;
+        } else if (!success && !request.isRetry && remaining > 0) {
+            long wait = Math.min(retryAfter, (long) (MAX_WAIT_RATIO * remaining));
+            after(wait + 2_000, () -> client(new ClientRequest(request.object, request.startedAt, true)));
         }
     }
 
-    private static int bytes(ObjectRequest what) {
-        return what.route() == NOTICES ? 6_000 : 120_000;
+    private static int bytes(ObjectRequest object) {
+        return object.route() == NOTICES ? 6_000 : 120_000;
     }
 
     // ---- one edge
@@ -323,136 +380,145 @@
     private final class Edge implements ObjectSources<String> {
         private final String name;
         private final HomeSelector homes;
-        private final FetchCoordinator<String> fetching;
+        private final FetchCoordinator<String> coordinator;
         private long linkFreeAt;
-        /** Bytes of objects that other edges were handed. */
-        private long sentBetween;
+        /** Bytes of objects sent to other edges. */
+        private long bytesToEdges;
 
-        private boolean ended;
+        private boolean stopped;
 
         Edge(String name, String zone, Map<String, String> all) {
             this.name = name;
             this.homes = new HomeSelector(name, zone);
             homes.updateEdges(all);
-            this.fetching = new FetchCoordinator<>(
+            this.coordinator = new FetchCoordinator<>(
                     name,
                     () -> now,
                     new ResponseCache(9 << 20),
                     homes,
                     new GossipState(),
-                    5 * SECOND,
-                    setup.spreads() ? setup.linkBits() / BITS_PER_BYTE : Double.POSITIVE_INFINITY,
+                    5 * SECOND_MICROS,
+                    setup.spreadHotObjects() ? setup.linkBitsPerSecond() / BITS_PER_BYTE : Double.POSITIVE_INFINITY,
                     random.nextLong(),
                     this);
         }
 
-        /** Sends so many bytes behind what is on the link already. */
-        private void sends(int bytes, Runnable arrives) {
-            if (ended) {
+        /** Sends bytes after those that are queued on the link already. */
+        private void send(int bytes, Runnable arrives) {
+            if (stopped) {
                 return;
             }
-            linkFreeAt = Math.max(now, linkFreeAt) + (long) (bytes * BITS_PER_BYTE / setup.linkBits() * SECOND);
-            after(linkFreeAt - now + HOP, arrives);
+            linkFreeAt = Math.max(now, linkFreeAt)
+                    + (long) (bytes * BITS_PER_BYTE / setup.linkBitsPerSecond() * SECOND_MICROS);
+            after(linkFreeAt - now + HOP_MICROS, arrives);
         }
 
-        void client(Ask ask) {
-            ObjectRequest what = ask.what;
-            if (fetching.lookUp(what) != null) {
-                sends(bytes(what), () -> over(ask, true, 0));
+        void client(ClientRequest request) {
+            ObjectRequest object = request.object;
+            if (coordinator.lookUp(object) != null) {
+                send(bytes(object), () -> finish(request, true, 0));
                 return;
             }
-            long giveUp = ask.begun + what.route().timeoutMicros();
-            fetching.request(what, FetchCoordinator.HOP_CLIENT, giveUp, new Told() {
+            long deadline = request.startedAt + object.route().timeoutMicros();
+            coordinator.request(object, FetchCoordinator.HOP_CLIENT, deadline, new FetchOutcome() {
                 @Override
-                void end(CachedResponse copy, long retryAfter) {
-                    if (copy != null) {
-                        sends(bytes(what), () -> over(ask, true, 0));
+                void end(CachedResponse response, long retryAfter) {
+                    if (response != null) {
+                        send(bytes(object), () -> finish(request, true, 0));
                     } else {
-                        over(ask, false, retryAfter);
+                        finish(request, false, retryAfter);
                     }
                 }
             });
         }
 
         @Override
-        public void requestFromEdge(HomeRequest question, HomeResponseListener<String> ending) {
+        public void requestFromEdge(HomeRequest edgeRequest, HomeResponseListener<String> listener) {
             boolean[] over = new boolean[1];
-            boolean[] comes = new boolean[1];
+            boolean[] answering = new boolean[1];
             Runnable silent = () -> {
                 if (!over[0]) {
                     over[0] = true;
-                    ending.onSilent(false);
+                    listener.onSilent(false);
                 }
             };
-            after(question.responseTimeout(), () -> {
-                if (!comes[0]) {
+            after(edgeRequest.responseTimeout(), () -> {
+                if (!answering[0]) {
                     silent.run();
                 }
             });
-            after(question.deadline() - now, silent);
-            Edge other = byName.get(question.edge());
+            after(edgeRequest.deadline() - now, silent);
+            Edge other = edgesByName.get(edgeRequest.edge());
             if (other == null) {
-                after(HOP, silent);
+                after(HOP_MICROS, silent);
                 return;
             }
             after(
-                    HOP,
-                    () -> other.fetching.request(
-                            question.object(), question.hop(), now + question.responseTimeout(), new Told() {
-                                private void answers(int bytes, Runnable ends) {
-                                    if (other.ended) {
+                    HOP_MICROS,
+                    () -> other.coordinator.request(
+                            edgeRequest.object(),
+                            edgeRequest.hop(),
+                            now + edgeRequest.responseTimeout(),
+                            new FetchOutcome() {
+                                private void answer(int bytes, Runnable deliver) {
+                                    if (other.stopped) {
                                         return;
                                     }
-                                    other.sentBetween += bytes;
-                                    comes[0] = true; // connections share the link, so that something of each comes soon
-                                    other.sends(bytes, () -> {
+                                    other.bytesToEdges += bytes;
+                                    answering[0] =
+                                            true; // connections share the link, so the first bytes of each response
+                                    // arrive soon
+                                    other.send(bytes, () -> {
                                         if (!over[0]) {
                                             over[0] = true;
-                                            ends.run();
+                                            deliver.run();
                                         }
                                     });
                                 }
 
                                 @Override
-                                void end(CachedResponse copy, long retryAfter) {
-                                    if (copy == null) {
-                                        answers(HEAD_BYTES, () -> ending.onRefused(retryAfter));
+                                void end(CachedResponse response, long retryAfter) {
+                                    if (response == null) {
+                                        answer(HEAD_BYTES, () -> listener.onRefused(retryAfter));
                                     } else {
-                                        answers(bytes(question.object()), () -> ending.onResponse(copy));
+                                        answer(bytes(edgeRequest.object()), () -> listener.onResponse(response));
                                     }
                                 }
 
                                 @Override
                                 public void onStillFetching() {
-                                    answers(HEAD_BYTES, ending::onStillFetching);
+                                    answer(HEAD_BYTES, listener::onStillFetching);
                                 }
                             }));
         }
 
         @Override
         public boolean requestFromServers(
-                String service, ObjectRequest what, long at, long giveUp, ServerResponseListener<String> ending) {
-            if (random.nextDouble() < setup.unsent()) {
-                ending.onNotSent(SECOND / 2);
+                String service, ObjectRequest object, long at, long deadline, ServerResponseListener<String> listener) {
+            if (random.nextDouble() < setup.unsentRatio()) {
+                listener.onNotSent(SECOND_MICROS / 2);
                 return true;
             }
-            if (ended) {
+            if (stopped) {
                 return true;
             }
-            arrivals.add(now);
-            Long before = fetchedAt.put(what.key(), now);
-            duplicates += before != null && now - before < what.route().ttlMicros() / 2 ? 1 : 0;
-            double speed = SPEEDS[random.nextInt(SPEEDS.length)];
-            long work = (long) (WORK * speed * Math.exp(0.4 * gaussian()));
-            long transfer = (long) (bytes(what) * BITS_PER_BYTE / setup.linkBits() * SECOND);
-            CachedResponse copy = new CachedResponse(
+            serverRequests.add(now);
+            Long previousFetch = fetchedAt.put(object.key(), now);
+            duplicates += previousFetch != null
+                            && now - previousFetch < object.route().ttlMicros() / 2
+                    ? 1
+                    : 0;
+            double speed = SERVER_SPEEDS[random.nextInt(SERVER_SPEEDS.length)];
+            long work = (long) (SERVER_WORK_MICROS * speed * Math.exp(0.4 * gaussian()));
+            long transfer = (long) (bytes(object) * BITS_PER_BYTE / setup.linkBitsPerSecond() * SECOND_MICROS);
+            CachedResponse response = new CachedResponse(
                     200,
                     List.of(),
-                    new byte[bytes(what)],
+                    new byte[bytes(object)],
                     Set.of(),
                     now,
-                    what.route().ttlMicros());
-            after(work + transfer, () -> ending.onResponse(copy));
+                    object.route().ttlMicros());
+            after(work + transfer, () -> listener.onResponse(response));
             return true;
         }
 
@@ -462,7 +528,7 @@
 
         @Override
         public double serverRatePerSecond(String service) {
-            return setup.perSecond();
+            return setup.serverRatePerSecond();
         }
 
         @Override
@@ -472,23 +538,25 @@
 
         @Override
         public int fetcherCount(String service) {
-            return EdgeSharing.fetcherCount(homes.edgeCount(), SERVER_CONNECTIONS, setup.perSecond());
+            return EdgeSharing.fetcherCount(homes.edgeCount(), SERVER_CONNECTIONS, setup.serverRatePerSecond());
         }
     }
 
-    /** Told once; a copy, or when to come back. */
-    private abstract static class Told implements ObjectWaiter<String> {
-        /** @param copy null for none */
-        abstract void end(CachedResponse copy, long retryAfter);
+    /** Reduces the outcome to a response or a time to retry after. */
+    private abstract static class FetchOutcome implements ObjectWaiter<String> {
+        /**
+         * @param response null for none
+         */
+        abstract void end(CachedResponse response, long retryAfter);
 
         @Override
-        public void onResponse(CachedResponse copy, boolean once) {
-            end(copy, 0);
+        public void onResponse(CachedResponse response, boolean once) {
+            end(response, 0);
         }
 
         @Override
         public void onUncacheable(String answer) {
-            end(null, SECOND / 2);
+            end(null, SECOND_MICROS / 2);
         }
 
         @Override
@@ -498,17 +566,17 @@
 
         @Override
         public void onFailed() {
-            end(null, SECOND / 2);
+            end(null, SECOND_MICROS / 2);
         }
 
         @Override
         public void onTooLong() {
-            end(null, SECOND / 2);
+            end(null, SECOND_MICROS / 2);
         }
 
         @Override
         public void onStillFetching() {
-            throw new IllegalStateException("only edges are told so");
+            throw new IllegalStateException("onStillFetching called for a client");
         }
     }
 }
--- a/src/test/java/gorsemast/cache/OriginRightsTest.java
+++ b/src/test/java/gorsemast/cache/OriginRightsTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How what servers bear is dealt out to edges. */
+/** Tests how the servers' rate is divided among the edges. */
 class OriginRightsTest {
     private static final long WINDOW = 5_000_000;
 
-    private static long sum(int edges, int fetchers, double perSecond) {
+    private static long sum(int edges, int fetcherCount, double ratePerSecond) {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < edges; i++) {
             all.put("10.0.0." + i, "z" + i % 3);
@@ -21,9 +21,9 @@
         for (Map.Entry<String, String> edge : all.entrySet()) {
             HomeSelector homes = new HomeSelector(edge.getKey(), edge.getValue());
             homes.updateEdges(all);
-            OriginPermits rights =
-                    new OriginPermits(() -> 100_000_000L, homes, WINDOW, service -> perSecond, service -> fetchers);
-            sum += rights.permitShare("objects");
+            OriginPermits permits = new OriginPermits(
+                    () -> 100_000_000L, homes, WINDOW, service -> ratePerSecond, service -> fetcherCount);
+            sum += permits.permitShare("objects");
         }
         return sum;
     }
@@ -41,13 +41,13 @@
         "500, 500, 100",
         "7, 7, 0.1"
     })
-    void thePartsOfAllEdgesAreWhatServersBear(int edges, int fetchers, double perSecond) {
-        long whole = Math.max(1, (long) OriginPermits.permitsPerWindow(perSecond, WINDOW));
-        assertThat(sum(edges, fetchers, perSecond)).isEqualTo(whole);
+    void sharesOfAllEdgesAddUpToTheServersRate(int edges, int fetcherCount, double ratePerSecond) {
+        long total = Math.max(1, (long) OriginPermits.permitsPerWindow(ratePerSecond, WINDOW));
+        assertThat(sum(edges, fetcherCount, ratePerSecond)).isEqualTo(total);
     }
 
     @Test
-    void theFewThatDoNotFetchHaveNoMoreThanThoseThatDo() {
+    void nonFetchersGetNoMorePermitsThanFetchers() {
         Map<String, String> all = new HashMap<>();
         for (int i = 0; i < 16; i++) {
             all.put("10.0.0." + i, "z");
@@ -55,61 +55,64 @@
         for (String edge : all.keySet()) {
             HomeSelector homes = new HomeSelector(edge, "z");
             homes.updateEdges(all);
-            OriginPermits rights = new OriginPermits(() -> 100_000_000L, homes, WINDOW, service -> 15.7, service -> 15);
-            boolean fetches = homes.isFetcher("objects", 15);
-            assertThat(rights.permitShare("objects")).isBetween(fetches ? 4L : 0L, fetches ? 5L : 1L);
+            OriginPermits permits =
+                    new OriginPermits(() -> 100_000_000L, homes, WINDOW, service -> 15.7, service -> 15);
+            boolean isFetcher = homes.isFetcher("objects", 15);
+            assertThat(permits.permitShare("objects")).isBetween(isFetcher ? 4L : 0L, isFetcher ? 5L : 1L);
         }
     }
 
     @Test
-    void aPartShrinksAtOnceAndGrowsToWhatItWasEntitledToAllTheWhile() {
-        SlowGrowingShare part = new SlowGrowingShare(WINDOW);
-        assertThat(part.update(0, 10)).isEqualTo(10);
-        assertThat(part.update(1, 4)).isEqualTo(4);
-        assertThat(part.update(2, 10)).isEqualTo(4);
-        assertThat(part.update(WINDOW / 2, 6)).isEqualTo(4);
-        assertThat(part.update(WINDOW, 9)).isEqualTo(4);
-        assertThat(part.update(WINDOW + 2, 9)).isEqualTo(6);
-        assertThat(part.update(WINDOW + 3, 9)).isEqualTo(6);
-        assertThat(part.update(WINDOW + 4, 6)).as("it has not held").isEqualTo(6);
-        assertThat(part.update(2 * WINDOW + 4, 9)).isEqualTo(6);
-        assertThat(part.update(3 * WINDOW + 4, 9)).isEqualTo(9);
+    void shareShrinksAtOnceAndGrowsToItsLowestEntitlementOfAWindow() {
+        SlowGrowingShare share = new SlowGrowingShare(WINDOW);
+        assertThat(share.update(0, 10)).isEqualTo(10);
+        assertThat(share.update(1, 4)).isEqualTo(4);
+        assertThat(share.update(2, 10)).isEqualTo(4);
+        assertThat(share.update(WINDOW / 2, 6)).isEqualTo(4);
+        assertThat(share.update(WINDOW, 9)).isEqualTo(4);
+        assertThat(share.update(WINDOW + 2, 9)).isEqualTo(6);
+        assertThat(share.update(WINDOW + 3, 9)).isEqualTo(6);
+        assertThat(share.update(WINDOW + 4, 6))
+                .as("the increase did not last for a window")
+                .isEqualTo(6);
+        assertThat(share.update(2 * WINDOW + 4, 9)).isEqualTo(6);
+        assertThat(share.update(3 * WINDOW + 4, 9)).isEqualTo(9);
     }
 
     @Test
-    void whatIsGivenBackCanBeTakenAgainOnce() {
+    void releasedPermitCanBeTakenAgainOnce() {
         long[] now = {100_000_000};
-        OriginPermits rights = one(now);
+        OriginPermits permits = permitsOfOneEdge(now);
         now[0] += 2 * WINDOW;
-        OriginPermits.Permit first = rights.tryAcquire("objects", false);
+        OriginPermits.Permit first = permits.tryAcquire("objects", false);
         assertThat(first).isNotNull();
-        assertThat(rights.tryAcquire("objects", false))
-                .as("one in half a second")
+        assertThat(permits.tryAcquire("objects", false))
+                .as("one per half second")
                 .isNull();
         first.release();
         first.release();
-        assertThat(rights.tryAcquire("objects", false)).isNotNull();
-        assertThat(rights.tryAcquire("objects", false)).isNull();
+        assertThat(permits.tryAcquire("objects", false)).isNotNull();
+        assertThat(permits.tryAcquire("objects", false)).isNull();
     }
 
     @Test
-    void whatIsGivenBackLongAfterwardsMakesNoRoom() {
+    void permitReleasedAfterItsWindowFreesNothing() {
         long[] now = {100_000_000};
-        OriginPermits rights = one(now);
+        OriginPermits permits = permitsOfOneEdge(now);
         now[0] += 2 * WINDOW;
-        OriginPermits.Permit first = rights.tryAcquire("objects", false);
-        now[0] += 11 * WINDOW / 10; // the step that has its place in the ring now
-        assertThat(rights.tryAcquire("objects", false)).isNotNull();
+        OriginPermits.Permit first = permits.tryAcquire("objects", false);
+        now[0] += 11 * WINDOW / 10; // the step that now occupies its slot in the ring
+        assertThat(permits.tryAcquire("objects", false)).isNotNull();
         first.release();
         now[0] += WINDOW / 10;
-        assertThat(rights.tryAcquire("objects", false)).isNotNull();
+        assertThat(permits.tryAcquire("objects", false)).isNotNull();
         now[0] += WINDOW / 10;
-        assertThat(rights.tryAcquire("objects", false))
-                .as("two in a window are all")
+        assertThat(permits.tryAcquire("objects", false))
+                .as("two per window are the limit")
                 .isNull();
     }
 
-    private static OriginPermits one(long[] now) {
+    private static OriginPermits permitsOfOneEdge(long[] now) {
         return new OriginPermits(() -> now[0], new HomeSelector("e", "z"), WINDOW, service -> 0.5, service -> 1);
     }
 }
--- a/src/test/java/gorsemast/dispatch/CallerRig.java
+++ b/src/test/java/gorsemast/dispatch/CallerRig.java
@@ -20,19 +20,19 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Attempts over real sockets as the delivery network's edges make them, and what their callers are told. */
+/** Sends attempts over real sockets as the delivery network's edges do, and collects their outcomes. */
 final class CallerRig implements AutoCloseable {
-    static final long LONG_MICROS = 60_000_000;
-    private static final int PATIENCE_SECONDS = 20;
+    static final long LONG_TIMEOUT_MICROS = 60_000_000;
+    private static final int WAIT_SECONDS = 20;
 
-    /** What a caller was told: how the attempt ended, and the body that it got. */
-    record Told(String id, Code code, String body) {}
+    /** How an attempt ended, and the body that its caller got. */
+    record Outcome(String id, Code code, String body) {}
 
     private record Node(String host, InetSocketAddress dial) implements Upstream.Peer {}
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     private final Upstream upstream;
     private volatile boolean listed = true;
 
@@ -40,12 +40,12 @@
         upstream = new Upstream(loop, new ServerDialect(), node -> listed, connections, 60_000, 2_000, 1);
     }
 
-    /** Runs on the event loop, and waits for it. */
+    /** Runs a task on the event loop and waits for it. */
     <T> T onLoop(Callable<T> task) throws Exception {
-        return loop.submit(task).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return loop.submit(task).get(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** On the event loop: an attempt with this id. */
+    /** Starts an attempt with this id; on the event loop. */
     Upstream.Attempt start(RawServer server, String id, HttpMethod method, String body, long micros) {
         ByteBuf content = Unpooled.copiedBuffer(body, StandardCharsets.US_ASCII);
         FullHttpRequest request = id.startsWith("object")
@@ -57,7 +57,7 @@
             @Override
             public void ended(Code code, CacheStatus note, FullHttpResponse answer) {
                 String text = answer == null ? null : answer.content().toString(StandardCharsets.US_ASCII);
-                told.add(new Told(id, code, text));
+                outcomes.add(new Outcome(id, code, text));
             }
         });
     }
@@ -66,7 +66,7 @@
         return onLoop(() -> start(server, id, method, body, micros));
     }
 
-    /** The server has left the list. */
+    /** Removes the server from the list. */
     void unlist() throws Exception {
         onLoop(() -> {
             listed = false;
@@ -75,15 +75,15 @@
         });
     }
 
-    /** What the next caller whose attempt ends is told. */
-    Told told() throws InterruptedException {
-        return told.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    /** The outcome of the next attempt that ends. */
+    Outcome nextOutcome() throws InterruptedException {
+        return outcomes.poll(WAIT_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** Whether somebody has been told who is not asked for yet. */
-    boolean toldMore() throws Exception {
+    /** Whether an attempt has ended whose outcome was not taken yet. */
+    boolean hasMoreOutcomes() throws Exception {
         onLoop(() -> null);
-        return !told.isEmpty();
+        return !outcomes.isEmpty();
     }
 
     @Override
@@ -91,7 +91,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS);
     }
 
-    /** A server's whole answer to that id, with its seal. */
+    /** A server's complete answer to the request with this id, with its seal. */
     static String answer(int status, String id, String headers, String body) {
         return "HTTP/1.1 " + status + " X\r\nAttempt-Id: " + id + "\r\nEdge-Seal: s\r\n" + headers + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body;
--- a/src/test/java/gorsemast/dispatch/CrowdTest.java
+++ b/src/test/java/gorsemast/dispatch/CrowdTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What edges that share servers' connections come to, each by itself. */
+/** Tests how edges share servers' connections, each deciding by itself. */
 class CrowdTest {
     private static List<String> names(String prefix, int count) {
         List<String> all = new ArrayList<>();
@@ -19,50 +19,53 @@
     }
 
     @Test
-    void whereThereIsEnoughEachGoesToAll() {
+    void everyEdgeUsesAllServersIfConnectionsSuffice() {
         assertThat(new EdgeSharing(10, 7, 120, 1_000).serverCount()).isEqualTo(7);
         assertThat(EdgeSharing.fetcherCount(10, 120, 510)).isEqualTo(10);
     }
 
     @Test
-    void noServerIsGivenMoreConnectionsThanItTakes() {
+    void noServerIsAssignedMoreConnectionsThanItAccepts() {
         for (int edges : new int[] {10, 85, 200, 500}) {
             for (int servers : new int[] {2, 9, 52}) {
-                for (int most : new int[] {65, 120, 450}) {
-                    EdgeSharing crowd = new EdgeSharing(edges, servers, most, 1_000);
-                    Map<String, Integer> given = new HashMap<>();
+                for (int connectionsPerServer : new int[] {65, 120, 450}) {
+                    EdgeSharing sharing = new EdgeSharing(edges, servers, connectionsPerServer, 1_000);
+                    Map<String, Integer> assigned = new HashMap<>();
                     for (String edge : names("10.1.0.", edges)) {
-                        EdgeSharing.chosenServers(edge, names("i-", servers), crowd.serverCount())
-                                .forEach(id -> given.merge(id, crowd.connectionShare(), Integer::sum));
+                        EdgeSharing.chosenServers(edge, names("i-", servers), sharing.serverCount())
+                                .forEach(id -> assigned.merge(id, sharing.connectionShare(), Integer::sum));
                     }
-                    double mean = given.values().stream()
+                    double mean = assigned.values().stream()
                             .mapToInt(Integer::intValue)
                             .average()
                             .orElseThrow();
-                    boolean enough = (double) servers * most >= (double) EdgeSharing.MIN_SERVERS * edges;
+                    boolean enough =
+                            (double) servers * connectionsPerServer >= (double) EdgeSharing.MIN_SERVERS * edges;
                     assertThat(mean)
-                            .as(edges + " edges, " + servers + " servers of " + most)
-                            .isLessThanOrEqualTo(enough ? most : Double.MAX_VALUE);
+                            .as(edges + " edges, " + servers + " servers of " + connectionsPerServer)
+                            .isLessThanOrEqualTo(enough ? connectionsPerServer : Double.MAX_VALUE);
                 }
             }
         }
     }
 
     @Test
-    void fewSocketsOfTheOwnMeanFewServers() {
+    void fewOwnConnectionsLimitTheNumberOfServers() {
         assertThat(new EdgeSharing(65, 34, 450, 5).serverCount()).isEqualTo(5);
         assertThat(new EdgeSharing(65, 34, 450, 1).serverCount()).isEqualTo(EdgeSharing.MIN_SERVERS);
         assertThat(new EdgeSharing(1, 1, 1, 1).serverCount()).isEqualTo(1);
     }
 
     @Test
-    void thoseThatFetchAreFewWhereConnectionsOrRateAre() {
+    void fetchersAreLimitedByConnectionsAndRate() {
         assertThat(EdgeSharing.fetcherCount(85, 65, 180))
-                .as("every edge for itself")
+                .as("every edge fetches")
                 .isEqualTo(85);
-        assertThat(EdgeSharing.fetcherCount(85, 65, 30)).as("one a second each").isEqualTo(30);
+        assertThat(EdgeSharing.fetcherCount(85, 65, 30))
+                .as("one per second each")
+                .isEqualTo(30);
         assertThat(EdgeSharing.fetcherCount(85, 20, 1_000))
-                .as("two to a connection")
+                .as("two edges per connection")
                 .isEqualTo(40);
         assertThat(EdgeSharing.fetcherCount(1, 1, 1)).isEqualTo(1);
         assertThat(EdgeSharing.fetcherCount(85, Integer.MAX_VALUE, Double.POSITIVE_INFINITY))
@@ -70,7 +73,7 @@
     }
 
     @Test
-    void aServerThatLeavesMovesNothingElse() {
+    void departedServerChangesNoOtherChoice() {
         List<String> servers = names("i-", 40);
         List<String> before = EdgeSharing.chosenServers("edge", servers, 8);
         servers.remove(before.get(3));
--- a/src/test/java/gorsemast/dispatch/OnceTableTest.java
+++ b/src/test/java/gorsemast/dispatch/OnceTableTest.java
@@ -1,11 +1,11 @@
 package gorsemast.dispatch;
 
-import static gorsemast.dispatch.CallerRig.LONG_MICROS;
+import static gorsemast.dispatch.CallerRig.LONG_TIMEOUT_MICROS;
 import static gorsemast.dispatch.CallerRig.answer;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import anisebend.Balancer.Code;
-import gorsemast.dispatch.CallerRig.Told;
+import gorsemast.dispatch.CallerRig.Outcome;
 import gorsemast.dispatch.RawServer.Connection;
 import gorsemast.http.Upstream;
 import io.netty.handler.codec.http.HttpMethod;
@@ -15,22 +15,22 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A call that may not repeat at every step of its way, and what may strike it there: the table of the design page. May it
- * have run, may it be sent again, is a refusal true?
+ * A call that must not be repeated, with a fault at each step of its way: may it have been executed, may it be sent
+ * again, and would a refusal be true?
  */
 class OnceTableTest {
-    /** How far it has come. */
+    /** How far the call has come. */
     enum Step {
         QUEUED,
-        COMING_UP,
-        HELD,
+        CONNECTING,
+        LAST_BYTE_HELD,
         WRITTEN,
         HEAD,
         BODY
     }
 
-    /** What strikes it. */
-    enum Strike {
+    /** The fault that occurs. */
+    enum Fault {
         RESET,
         CLOSE,
         SILENCE,
@@ -41,7 +41,7 @@
         EARLY_ANSWER
     }
 
-    private static final long SHORT_MICROS = 300_000;
+    private static final long SHORT_TIMEOUT_MICROS = 300_000;
 
     private final CallerRig rig = new CallerRig(1);
     private RawServer server;
@@ -56,23 +56,23 @@
 
     @ParameterizedTest
     @CsvSource({
-        // step, strike, how it ends, may it have run
-        "QUEUED, RESET, OK, true", // of the connection that it waits for: it goes on another
+        // step, fault, outcome, whether it may have been executed
+        "QUEUED, RESET, OK, true", // of the connection that it waits for: it is sent on another
         "QUEUED, CLOSE, OK, true",
         "QUEUED, SILENCE, NOT_SENT, false",
         "QUEUED, CLIENT_GONE, NOT_SENT, false",
         "QUEUED, UNLISTED, NOT_SENT, false",
-        "COMING_UP, SILENCE, CONNECT_FAILED, false",
-        "COMING_UP, CLIENT_GONE, NOT_SENT, false",
-        "COMING_UP, UNLISTED, NOT_SENT, false",
-        "HELD, RESET, NOT_SENT, false",
-        "HELD, CLOSE, NOT_SENT, false",
-        "HELD, SILENCE, CONNECT_FAILED, false",
-        "HELD, CLIENT_GONE, NOT_SENT, false",
-        "HELD, UNLISTED, OK, true",
-        "HELD, EARLY_REFUSAL, FULL, false",
-        "HELD, EARLY_ERROR, ERROR, true",
-        "HELD, EARLY_ANSWER, OK, true",
+        "CONNECTING, SILENCE, CONNECT_FAILED, false",
+        "CONNECTING, CLIENT_GONE, NOT_SENT, false",
+        "CONNECTING, UNLISTED, NOT_SENT, false",
+        "LAST_BYTE_HELD, RESET, NOT_SENT, false",
+        "LAST_BYTE_HELD, CLOSE, NOT_SENT, false",
+        "LAST_BYTE_HELD, SILENCE, CONNECT_FAILED, false",
+        "LAST_BYTE_HELD, CLIENT_GONE, NOT_SENT, false",
+        "LAST_BYTE_HELD, UNLISTED, OK, true",
+        "LAST_BYTE_HELD, EARLY_REFUSAL, FULL, false",
+        "LAST_BYTE_HELD, EARLY_ERROR, ERROR, true",
+        "LAST_BYTE_HELD, EARLY_ANSWER, OK, true",
         "WRITTEN, RESET, RESET, true",
         "WRITTEN, CLOSE, RESET, true",
         "WRITTEN, SILENCE, TIMEOUT, true",
@@ -89,152 +89,164 @@
         "BODY, CLIENT_GONE, CANCELLED, true",
         "BODY, UNLISTED, OK, true"
     })
-    void aCallThatMayNotRepeat(Step step, Strike strike, Code code, boolean mayHaveRun) throws Exception {
-        Told told =
+    void nonRepeatableCall(Step step, Fault fault, Code code, boolean mayHaveRun) throws Exception {
+        Outcome outcome =
                 switch (step) {
-                    case QUEUED -> queued(strike);
-                    case COMING_UP -> comingUp(strike);
-                    case HELD -> held("pay", strike);
-                    default -> written(step, strike);
+                    case QUEUED -> queued(fault);
+                    case CONNECTING -> connecting(fault);
+                    case LAST_BYTE_HELD -> lastByteHeld("pay", fault);
+                    default -> written(step, fault);
                 };
-        assertThat(told.code()).isEqualTo(code);
+        assertThat(outcome.code()).isEqualTo(code);
         CallState state = new CallState(false);
         state.attemptSent(state.nextAttempt());
-        state.attemptEnded(0, told.code());
+        state.attemptEnded(0, outcome.code());
         assertThat(state.mayRefuse()).isEqualTo(!mayHaveRun);
         assertThat(state.maySend()).isEqualTo(!mayHaveRun);
     }
 
-    /** Also where it has no body: the end of its head is kept back. */
+    /** Also for a call without a body: the end of its head is held back. */
     @ParameterizedTest
     @CsvSource({"RESET, NOT_SENT", "CLOSE, NOT_SENT", "CLIENT_GONE, NOT_SENT", "EARLY_ANSWER, OK", "UNLISTED, OK"})
-    void aCallWithoutABodyOnAConnectionThatIsForgotten(Strike strike, Code code) throws Exception {
-        assertThat(held("", strike).code()).isEqualTo(code);
+    void callWithoutBodyOnALostConnection(Fault fault, Code code) throws Exception {
+        assertThat(lastByteHeld("", fault).code()).isEqualTo(code);
     }
 
-    /** Connections that have rested least are forgotten last. */
+    /** Servers are least likely to have closed the connections that were idle for the shortest time. */
     @Test
-    void aCallThatMayNotRepeatGoesOnTheConnectionThatWasUsedLast() throws Exception {
+    void nonRepeatableCallUsesTheMostRecentlyUsedConnection() throws Exception {
         try (CallerRig two = new CallerRig(2)) {
             server = new RawServer(4);
-            two.send(server, "a", HttpMethod.GET, "", LONG_MICROS);
+            two.send(server, "a", HttpMethod.GET, "", LONG_TIMEOUT_MICROS);
             Connection first = server.accept();
             first.request();
-            two.send(server, "b", HttpMethod.GET, "", LONG_MICROS);
+            two.send(server, "b", HttpMethod.GET, "", LONG_TIMEOUT_MICROS);
             Connection second = server.accept();
             second.request();
-            first.says(answer(200, "a", "", "own"));
-            assertThat(two.told().id()).isEqualTo("a");
-            second.says(answer(200, "b", "", "own"));
-            assertThat(two.told().id()).isEqualTo("b");
-            two.send(server, "once", HttpMethod.POST, "pay", LONG_MICROS);
+            first.send(answer(200, "a", "", "own"));
+            assertThat(two.nextOutcome().id()).isEqualTo("a");
+            second.send(answer(200, "b", "", "own"));
+            assertThat(two.nextOutcome().id()).isEqualTo("b");
+            two.send(server, "once", HttpMethod.POST, "pay", LONG_TIMEOUT_MICROS);
             assertThat(second.request()).contains("once");
-            two.send(server, "any", HttpMethod.GET, "", LONG_MICROS);
+            two.send(server, "any", HttpMethod.GET, "", LONG_TIMEOUT_MICROS);
             assertThat(first.request()).contains("any");
         }
     }
 
-    private Told queued(Strike strike) throws Exception {
+    private Outcome queued(Fault fault) throws Exception {
         server = new RawServer(4);
-        rig.send(server, "before", HttpMethod.GET, "", LONG_MICROS);
+        rig.send(server, "before", HttpMethod.GET, "", LONG_TIMEOUT_MICROS);
         Connection taken = server.accept();
         taken.request();
-        Upstream.Attempt attempt =
-                rig.send(server, "once", HttpMethod.POST, "pay", strike == Strike.SILENCE ? SHORT_MICROS : LONG_MICROS);
-        if (strike == Strike.RESET || strike == Strike.CLOSE) {
-            strikes(strike, taken);
-            assertThat(rig.told()).isEqualTo(new Told("before", Code.RESET, null));
+        Upstream.Attempt attempt = rig.send(
+                server,
+                "once",
+                HttpMethod.POST,
+                "pay",
+                fault == Fault.SILENCE ? SHORT_TIMEOUT_MICROS : LONG_TIMEOUT_MICROS);
+        if (fault == Fault.RESET || fault == Fault.CLOSE) {
+            breakConnection(fault, taken);
+            assertThat(rig.nextOutcome()).isEqualTo(new Outcome("before", Code.RESET, null));
             Connection next = server.accept();
             assertThat(next.request()).contains("/once");
-            next.says(answer(200, "once", "", "own"));
+            next.send(answer(200, "once", "", "own"));
         }
-        here(strike, attempt, taken);
-        return rig.told();
+        applyLocally(fault, attempt, taken);
+        return rig.nextOutcome();
     }
 
-    private static void strikes(Strike strike, Connection connection) throws Exception {
-        if (strike == Strike.RESET) {
+    private static void breakConnection(Fault fault, Connection connection) throws Exception {
+        if (fault == Fault.RESET) {
             connection.reset();
         } else {
-            connection.ends();
+            connection.end();
         }
     }
 
-    private Told comingUp(Strike strike) throws Exception {
+    private Outcome connecting(Fault fault) throws Exception {
         server = new RawServer(1);
-        server.fill();
-        Upstream.Attempt attempt =
-                rig.send(server, "once", HttpMethod.POST, "pay", strike == Strike.SILENCE ? SHORT_MICROS : LONG_MICROS);
-        here(strike, attempt, null);
-        return rig.told();
+        server.fillBacklog();
+        Upstream.Attempt attempt = rig.send(
+                server,
+                "once",
+                HttpMethod.POST,
+                "pay",
+                fault == Fault.SILENCE ? SHORT_TIMEOUT_MICROS : LONG_TIMEOUT_MICROS);
+        applyLocally(fault, attempt, null);
+        return rig.nextOutcome();
     }
 
-    /** The last byte is kept back while the loop waits here, so whatever strikes comes before it. */
-    private Told held(String body, Strike strike) throws Exception {
+    /** The last byte is held back while the event loop waits here, so the fault occurs before it is sent. */
+    private Outcome lastByteHeld(String body, Fault fault) throws Exception {
         server = new RawServer(4);
-        rig.send(server, "before", HttpMethod.GET, "", LONG_MICROS);
+        rig.send(server, "before", HttpMethod.GET, "", LONG_TIMEOUT_MICROS);
         Connection kept = server.accept();
         int head = kept.request().length();
-        kept.says(answer(200, "before", "", "own"));
-        rig.told();
+        kept.send(answer(200, "before", "", "own"));
+        rig.nextOutcome();
         rig.onLoop(() -> {
-            // Shorter than the least time for which a last byte is kept back.
-            long micros = strike == Strike.SILENCE ? 1_000 : LONG_MICROS;
+            // Shorter than the minimum time for which the last byte is held back.
+            long micros = fault == Fault.SILENCE ? 1_000 : LONG_TIMEOUT_MICROS;
             Upstream.Attempt attempt = rig.start(server, "once", HttpMethod.POST, body, micros);
             int more = "POST /once".length() - "GET /before".length() + "once".length() - "before".length();
-            kept.bytes(head + more + body.length() - 1);
-            switch (strike) {
-                case RESET, CLOSE -> strikes(strike, kept);
+            kept.readBytes(head + more + body.length() - 1);
+            switch (fault) {
+                case RESET, CLOSE -> breakConnection(fault, kept);
                 case CLIENT_GONE -> attempt.cancel();
-                case EARLY_REFUSAL -> kept.says(answer(503, "once", "Not-Executed: 1\r\n", ""));
-                case EARLY_ERROR -> kept.says(answer(500, "once", "", ""));
-                case EARLY_ANSWER -> kept.says(answer(200, "once", "", "own"));
+                case EARLY_REFUSAL -> kept.send(answer(503, "once", "Not-Executed: 1\r\n", ""));
+                case EARLY_ERROR -> kept.send(answer(500, "once", "", ""));
+                case EARLY_ANSWER -> kept.send(answer(200, "once", "", "own"));
                 default -> {
-                    // strikes below
+                    // applied below
                 }
             }
             return null;
         });
-        if (strike == Strike.UNLISTED) {
+        if (fault == Fault.UNLISTED) {
             rig.unlist();
-            assertThat(kept.bytes(1)).hasSize(1);
-            kept.says(answer(200, "once", "", "own"));
-        } else if (strike != Strike.RESET && strike != Strike.CLOSE) {
-            assertThat(kept.isClosed()).isTrue(); // and its last byte has never come
+            assertThat(kept.readBytes(1)).hasSize(1);
+            kept.send(answer(200, "once", "", "own"));
+        } else if (fault != Fault.RESET && fault != Fault.CLOSE) {
+            assertThat(kept.isClosed()).isTrue(); // without its last byte
         }
-        return rig.told();
+        return rig.nextOutcome();
     }
 
-    private Told written(Step step, Strike strike) throws Exception {
+    private Outcome written(Step step, Fault fault) throws Exception {
         server = new RawServer(4);
-        Upstream.Attempt attempt =
-                rig.send(server, "once", HttpMethod.POST, "pay", strike == Strike.SILENCE ? SHORT_MICROS : LONG_MICROS);
+        Upstream.Attempt attempt = rig.send(
+                server,
+                "once",
+                HttpMethod.POST,
+                "pay",
+                fault == Fault.SILENCE ? SHORT_TIMEOUT_MICROS : LONG_TIMEOUT_MICROS);
         Connection connection = server.accept();
         assertThat(connection.request()).endsWith("pay");
         String whole = answer(200, "once", "", "own");
         int part = step == Step.WRITTEN ? 0 : step == Step.HEAD ? whole.length() - 3 : whole.length() - 1;
         if (part > 0) {
-            connection.says(whole.substring(0, part));
+            connection.send(whole.substring(0, part));
         }
-        if (strike == Strike.RESET || strike == Strike.CLOSE) {
-            strikes(strike, connection);
+        if (fault == Fault.RESET || fault == Fault.CLOSE) {
+            breakConnection(fault, connection);
         } else {
-            here(strike, attempt, connection);
+            applyLocally(fault, attempt, connection);
         }
-        if (strike == Strike.UNLISTED) {
-            connection.says(whole.substring(part));
+        if (fault == Fault.UNLISTED) {
+            connection.send(whole.substring(part));
         }
-        return rig.told();
+        return rig.nextOutcome();
     }
 
-    /** What strikes on this side. */
-    private void here(Strike strike, Upstream.Attempt attempt, Connection connection) throws Exception {
-        if (strike == Strike.CLIENT_GONE) {
+    /** Applies faults on this side of the connection. */
+    private void applyLocally(Fault fault, Upstream.Attempt attempt, Connection connection) throws Exception {
+        if (fault == Fault.CLIENT_GONE) {
             rig.onLoop(() -> {
                 attempt.cancel();
                 return null;
             });
-        } else if (strike == Strike.UNLISTED) {
+        } else if (fault == Fault.UNLISTED) {
             rig.unlist();
         }
         assertThat(connection == null || connection.socket().isConnected()).isTrue();
--- a/src/test/java/gorsemast/dispatch/RawServer.java
+++ b/src/test/java/gorsemast/dispatch/RawServer.java
@@ -10,17 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A server that says what a test makes it say, byte by byte. Blocking; the port is the system's. */
+/** A server that sends what a test gives it, byte by byte. Blocking, on a port chosen by the system. */
 public final class RawServer implements AutoCloseable {
-    private static final int PATIENCE_MILLIS = 20_000;
+    private static final int WAIT_MILLIS = 20_000;
 
     private final ServerSocket listener;
     private final List<Socket> open = new ArrayList<>();
 
-    /** @param backlog how many may wait to be let in */
+    /**
+     * @param backlog how many connections may wait to be accepted
+     */
     public RawServer(int backlog) throws IOException {
         listener = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
-        listener.setSoTimeout(PATIENCE_MILLIS);
+        listener.setSoTimeout(WAIT_MILLIS);
     }
 
     public InetSocketAddress address() {
@@ -30,12 +32,12 @@
     public Connection accept() throws IOException {
         Socket socket = listener.accept();
         open.add(socket);
-        socket.setSoTimeout(PATIENCE_MILLIS);
+        socket.setSoTimeout(WAIT_MILLIS);
         return new Connection(socket);
     }
 
-    /** Lets nobody in any more: who comes is not heard, as the queue of those who wait is full. */
-    public void fill() throws IOException {
+    /** Fills the backlog: further connection attempts get no answer. */
+    public void fillBacklog() throws IOException {
         for (int i = 0; i < 20; i++) {
             Socket socket = new Socket();
             open.add(socket);
@@ -45,7 +47,7 @@
                 return;
             }
         }
-        throw new IOException("this listener's queue does not fill");
+        throw new IOException("the listener's backlog could not be filled");
     }
 
     @Override
@@ -58,7 +60,7 @@
 
     /** One connection. */
     public record Connection(Socket socket) {
-        /** The next request: its head and as much of a body as it tells; null at the end. */
+        /** The next request with its head and its body by Content-Length; null at the end. */
         public String request() throws IOException {
             InputStream in = socket.getInputStream();
             StringBuilder head = new StringBuilder();
@@ -77,16 +79,16 @@
             return head + new String(in.readNBytes(length), StandardCharsets.US_ASCII);
         }
 
-        /** So many bytes of what has come; fewer at the end. */
-        public String bytes(int count) throws IOException {
+        /** The next {@code count} bytes; fewer at the end. */
+        public String readBytes(int count) throws IOException {
             return new String(socket.getInputStream().readNBytes(count), StandardCharsets.US_ASCII);
         }
 
-        public void says(String text) throws IOException {
+        public void send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         }
 
-        /** Whether the other side has closed it, with nothing more said. */
+        /** Whether the other side has closed the connection without sending anything more. */
         public boolean isClosed() throws IOException {
             try {
                 return socket.getInputStream().read() < 0;
@@ -100,7 +102,7 @@
             socket.close();
         }
 
-        public void ends() throws IOException {
+        public void end() throws IOException {
             socket.close();
         }
     }
--- a/src/test/java/gorsemast/proxy/HomeAnswerTest.java
+++ b/src/test/java/gorsemast/proxy/HomeAnswerTest.java
@@ -100,7 +100,7 @@
             request(homeClient(home), "/objects/a");
             RawServer.Connection connection = home.accept();
             connection.request();
-            connection.says(text);
+            connection.send(text);
             assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("silent");
             assertThat(connection.isClosed()).isTrue();
         }
@@ -112,7 +112,7 @@
             request(homeClient(home), "/objects/a");
             RawServer.Connection connection = home.accept();
             String first = requestId(connection.request());
-            connection.says("HTTP/1.1 503 X\r\n" + first + "Home-In-Hand: 1\r\nContent-Length: 0\r\n\r\n");
+            connection.send("HTTP/1.1 503 X\r\n" + first + "Home-In-Hand: 1\r\nContent-Length: 0\r\n\r\n");
             assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("still fetching");
         }
     }
@@ -124,11 +124,11 @@
             request(homeClient, "/objects/a");
             RawServer.Connection connection = home.accept();
             String first = requestId(connection.request());
-            connection.says("HTTP/1.1 200 X\r\n" + first + COPY + "one");
+            connection.send("HTTP/1.1 200 X\r\n" + first + COPY + "one");
             assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("copy one");
             request(homeClient, "/objects/b");
             String second = requestId(connection.request());
-            connection.says("HTTP/1.1 200 X\r\n" + first + COPY + "one" + "HTTP/1.1 200 X\r\n" + second + COPY + "two");
+            connection.send("HTTP/1.1 200 X\r\n" + first + COPY + "one" + "HTTP/1.1 200 X\r\n" + second + COPY + "two");
             assertThat(outcomes.poll(20, TimeUnit.SECONDS)).isEqualTo("copy two");
         }
     }
