--- a/src/main/java/anisebend/AdaptiveInterval.java
+++ b/src/main/java/anisebend/AdaptiveInterval.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** A randomized interval between uses: doubled on failure, halved after a number of successes. */
+/** An interval as in "Responsive exponential backoff in Go": doubled on failure, halved after successes. */
 class AdaptiveInterval {
     private static final double INCREASE_FACTOR = 2;
     private static final double DECREASE_FACTOR = 0.5;
--- a/src/main/java/anisebend/Lane.java
+++ b/src/main/java/anisebend/Lane.java
@@ -2,14 +2,14 @@
 
 import java.util.SplittableRandom;
 
-/** A slot for sending requests to a target. While its interval is not 0 it carries one request at a time. */
+/** A slot for requests to a target: one at a time while its interval is not 0, like that paper's workers. */
 final class Lane extends AdaptiveInterval {
     /** The shortest and longest interval are the shortest deadline divided by these. */
     static final int INITIAL_DIVISOR = 50;
 
     static final int MAX_DIVISOR = 5;
 
-    /** When the interval begins: at the last send or, once there is one, its outcome. */
+    /** When the interval begins: at the last send or, like that paper's sleep after a call, its outcome. */
     long idleSince;
 
     long decreasedAt;
--- a/src/main/java/gorsemast/registry/Quorum.java
+++ b/src/main/java/gorsemast/registry/Quorum.java
@@ -14,7 +14,7 @@
  * entries that this registry lacks. Not thread-safe; times in microseconds.
  */
 final class Quorum {
-    /** The interval of comparisons with the other members. */
+    /** How often the other members are asked whether they have entries that this one lacks. */
     private static final long COMPARE_INTERVAL_MICROS = 500_000;
 
     private static final long[] NO_BUCKETS = new long[0];
