--- a/src/main/java/gorsemast/cache/EdgeWaiter.java
+++ b/src/main/java/gorsemast/cache/EdgeWaiter.java
@@ -1,53 +1,53 @@
 package gorsemast.cache;
 
-/** Another edge that waits for an object: told once, whatever comes later. One thread. */
+/** Another edge that waits for an object: only the first notification reaches it. Not thread-safe. */
 final class EdgeWaiter<A> implements ObjectWaiter<A> {
-    private final ObjectWaiter<A> edge;
-    private boolean over;
+    private final ObjectWaiter<A> delegate;
+    private boolean answered;
 
-    EdgeWaiter(ObjectWaiter<A> edge) {
-        this.edge = edge;
+    EdgeWaiter(ObjectWaiter<A> delegate) {
+        this.delegate = delegate;
     }
 
-    /** Whether it has been told. */
-    boolean isOver() {
-        return over;
+    /** Whether it has been notified. */
+    boolean isAnswered() {
+        return answered;
     }
 
-    private void once(Runnable tell) {
-        if (!over) {
-            over = true;
-            tell.run();
+    private void once(Runnable answer) {
+        if (!answered) {
+            answered = true;
+            answer.run();
         }
     }
 
     @Override
-    public void here(Copy copy, boolean once) {
-        once(() -> edge.here(copy, once));
+    public void onResponse(CachedResponse response, boolean onceOnly) {
+        once(() -> delegate.onResponse(response, onceOnly));
     }
 
     @Override
-    public void other(A answer) {
-        once(() -> edge.other(answer));
+    public void onUncacheable(A answer) {
+        once(() -> delegate.onUncacheable(answer));
     }
 
     @Override
-    public void refused(long retryAfterMicros) {
-        once(() -> edge.refused(retryAfterMicros));
+    public void onRefused(long retryAfterMicros) {
+        once(() -> delegate.onRefused(retryAfterMicros));
     }
 
     @Override
-    public void failed() {
-        once(edge::failed);
+    public void onFailed() {
+        once(delegate::onFailed);
     }
 
     @Override
-    public void tooLong() {
-        once(edge::tooLong);
+    public void onTooLong() {
+        once(delegate::onTooLong);
     }
 
     @Override
-    public void inHand() {
-        once(edge::inHand);
+    public void onStillFetching() {
+        once(delegate::onStillFetching);
     }
 }
--- a/src/main/java/gorsemast/modelcheck/RegistryWorld.java
+++ b/src/main/java/gorsemast/modelcheck/RegistryWorld.java
@@ -112,10 +112,10 @@
         }
         String tag = "o" + ++orders;
         say(ip + " is sent " + tag);
-        machine.node.run(new Command.Purge("", "", tag), 10, (status, text, body) -> {
+        machine.node.execute(new Command.Purge("", "", tag), 10, (status, text, body) -> {
             say(tag + " ends with " + status);
             if (status == 200) {
-                for (Entry item : machine.node.board().all(Kind.PURGE)) {
+                for (Entry item : machine.node.state().all(Kind.PURGE)) {
                     if (new String(item.body(), java.nio.charset.StandardCharsets.UTF_8).endsWith(tag)) {
                         acked.add(new Acked(now, Kind.PURGE, item.key(), item.stamp()));
                     }
@@ -271,13 +271,13 @@
         machines.values().forEach(this::judge);
     }
 
-    /** Throws {@link Broken} where a registry vouches and does not know what it must. */
+    /** Throws {@link Violation} where a registry vouches and does not know what it must. */
     void judge(RegistryMachine machine) {
         if (machine.node == null || machine.frozen || !machine.node.synced()) {
             return;
         }
         for (Acked one : acked) {
-            Entry held = machine.node.board().get(one.kind, one.key);
+            Entry held = machine.node.state().get(one.kind, one.key);
             boolean before = one.at < now - KNOWN_MICROS || one.at < machine.beganAt;
             if (before && (held == null || held.stamp() < one.stamp)) {
                 throw new Broken(machine.ip + " vouches at " + now / 1e6 + " and does not know " + one.kind + " "
--- a/src/main/java/gorsemast/registry/RegistryProgram.java
+++ b/src/main/java/gorsemast/registry/RegistryProgram.java
@@ -2,13 +2,13 @@
 
 import gorsemast.logging.Log;
 import gorsemast.node.Daemon;
-import gorsemast.node.Seed;
+import gorsemast.node.RandomSeed;
 import gorsemast.node.Settings;
 import gorsemast.peer.Link;
 import gorsemast.peer.Links;
 import gorsemast.peer.Neighbour;
+import gorsemast.peer.PeerMessage;
 import gorsemast.peer.Ports;
-import gorsemast.peer.Record;
 import gorsemast.transport.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -21,57 +21,57 @@
 import java.util.function.Consumer;
 
 /**
- * The registry's program round its {@link RegistryNode}: the listener for servers and operators, links to the other registries,
- * to the store on its own machine, and from the proxies that have chosen it, and the disk. One event loop.
+ * The registry process around a {@link RegistryNode}: the HTTP server for servers and operators, the disk, and the links to
+ * other registries, to the store on its machine, and from the proxies that chose it. Runs on one event loop.
  */
-public final class RegistryProgram implements Daemon, Link.Receiver, RegistryNode.Carrier {
+public final class RegistryProgram implements Daemon, Link.Receiver, RegistryNode.Environment {
     private static final Log LOG = new Log("registry");
 
     private final Settings settings;
     private final EventLoop loop;
     private final Links links;
-    private final RegistryNode office;
-    private final long origin = System.nanoTime();
+    private final RegistryNode node;
+    private final long startNanos = System.nanoTime();
     private RegistryDisk disk;
 
-    /** By the platform's settings; nothing begins yet. */
+    /** Creates the process from the platform's settings; {@link #start} starts it. */
     public RegistryProgram(Settings settings) {
         this.settings = settings;
         this.loop = new MultiThreadIoEventLoopGroup(1, Transport.handlers()).next();
         this.links = new Links(loop, this::now, this::hello, this);
-        this.office = new RegistryNode(
-                new RegistryNode.Self(
+        this.node = new RegistryNode(
+                new RegistryNode.Parameters(
                         settings.ip(),
                         settings.zone(),
-                        control(),
+                        controlAddress(),
                         System.currentTimeMillis(),
-                        settings.beatMicros(),
+                        settings.heartbeatMicros(),
                         settings.losses(),
                         settings.firstBoot()),
                 settings.seedIps(),
                 settings.dataDir() != null,
-                Seed.fresh(),
+                RandomSeed.next(),
                 this::now,
                 links,
                 this);
     }
 
     private long now() {
-        return (System.nanoTime() - origin) / 1_000;
+        return (System.nanoTime() - startNanos) / 1_000;
     }
 
-    private Record.Hello hello() {
-        return office.hello();
+    private PeerMessage.Hello hello() {
+        return node.hello();
     }
 
-    private String control() {
-        InetSocketAddress at = settings.listens().get("control");
-        return at == null ? "" : at.getAddress().getHostAddress() + ":" + at.getPort();
+    private String controlAddress() {
+        InetSocketAddress address = settings.listenAddresses().get("control");
+        return address == null ? "" : address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
     @Override
     public void start() throws IOException {
-        InetSocketAddress control = settings.listens().get("control");
+        InetSocketAddress control = settings.listenAddresses().get("control");
         if (control == null) {
             throw new IOException("listenAddrs.control: is missing");
         }
@@ -82,10 +82,10 @@
                     loop.execute(task);
                 }
             });
-            office.recall(disk.snapshot(), disk.journal());
+            node.restore(disk.snapshot(), disk.journal());
         }
-        links.listen(Ports.REGISTRY.at(settings, settings.ip()));
-        new ControlServer(loop, office::run).listen(control);
+        links.listen(Ports.REGISTRY.address(settings, settings.ip()));
+        new ControlServer(loop, node::execute).listen(control);
         loop.execute(this::tick);
         loop.scheduleWithFixedDelay(
                 this::tick, RegistryNode.TICK_MICROS, RegistryNode.TICK_MICROS, TimeUnit.MICROSECONDS);
@@ -93,17 +93,17 @@
 
     @Override
     public void reload(Settings changed) {
-        loop.execute(() -> office.seeds(changed.seedIps()));
+        loop.execute(() -> node.addSeeds(changed.seedIps()));
     }
 
     @Override
     public void stop() {
-        // What is acknowledged is on this disk and on others already.
+        // Nothing to do: acknowledged commands are already on this disk and on others.
     }
 
     @Override
     public void close() {
-        Daemon.end(loop);
+        Daemon.shutDown(loop);
         if (disk != null) {
             disk.close();
         }
@@ -111,26 +111,26 @@
 
     private void tick() {
         try {
-            Set<InetSocketAddress> wanted = new LinkedHashSet<>();
-            office.wanted().forEach(ip -> wanted.add(Ports.REGISTRY.at(settings, ip)));
-            wanted.add(Ports.STORE.at(settings, settings.ip()));
-            links.keep(wanted);
-            office.tick();
+            Set<InetSocketAddress> targets = new LinkedHashSet<>();
+            node.peerAddresses().forEach(ip -> targets.add(Ports.REGISTRY.address(settings, ip)));
+            targets.add(Ports.STORE.address(settings, settings.ip()));
+            links.setTargets(targets);
+            node.tick();
         } catch (RuntimeException e) {
-            LOG.fault(e);
+            LOG.internalError(e);
         }
     }
 
-    // ---- what the office wants done
+    // ---- environment of the node
 
     @Override
-    public void later(long micros, Runnable task) {
+    public void schedule(long micros, Runnable task) {
         loop.schedule(task, micros, TimeUnit.MICROSECONDS);
     }
 
     @Override
-    public void remember(byte[] record, Consumer<Boolean> done) {
-        disk.remember(record, done);
+    public void writeSnapshot(byte[] record, Consumer<Boolean> done) {
+        disk.writeSnapshot(record, done);
     }
 
     @Override
@@ -141,17 +141,17 @@
     // ---- links
 
     @Override
-    public void up(Neighbour one) {
-        office.up(one);
+    public void connected(Neighbour neighbour) {
+        node.connected(neighbour);
     }
 
     @Override
-    public void down(Neighbour one) {
-        // what it told holds on
+    public void disconnected(Neighbour neighbour) {
+        // nothing to do: its updates stay valid
     }
 
     @Override
-    public void received(Neighbour one, Record record) {
-        office.received(one, record);
+    public void received(Neighbour neighbour, PeerMessage message) {
+        node.received(neighbour, message);
     }
 }
--- a/src/main/java/gorsemast/simulation/Referee.java
+++ b/src/main/java/gorsemast/simulation/Referee.java
@@ -11,7 +11,7 @@
 
 /**
  * Judges by the operators' rules what clients and servers have seen; {@link Contents} judges configurations. What has a time
- * bound is asked of machines in touch only, see {@link Contact}. Throws {@link Broken}. Times in microseconds of the world's clock.
+ * bound is asked of machines in touch only, see {@link Contact}. Throws {@link Violation}. Times in microseconds of the world's clock.
  */
 final class Referee {
     private static final long PURGE = 2_000_000;
@@ -94,11 +94,11 @@
                 .add(request.attempt())) {
             Deque<Long> more = further.computeIfAbsent(request.service(), name -> new ArrayDeque<>());
             more.add(now());
-            while (more.peek() < now() - World.BUDGET.window()) {
+            while (more.peek() < now() - World.BUDGET.windowMicros()) {
                 more.poll();
             }
             long requests = asked.getOrDefault(request.service(), new ArrayDeque<>()).stream()
-                    .filter(at -> at > now() - World.BUDGET.window())
+                    .filter(at -> at > now() - World.BUDGET.windowMicros())
                     .count();
             if (more.size() > World.BUDGET.ratio() * requests + World.BUDGET.slack()) {
                 throw new Broken(
